--- a/tests/moves/test_reclaims.py
+++ b/tests/moves/test_reclaims.py
@@ -103,7 +103,7 @@
             for name in hosts.all
             if hosts.recoveries[name].moves.is_leaving(engine)
         ]
-        hosts.recoveries["entry-1"].moves.reclaim(notices)
+        hosts.recoveries["entry-1"].moves.add_notices(notices)
     assert known == list(hosts.all)
 
 
