--- a/src/pepperstep/requests/__init__.py
+++ b/src/pepperstep/requests/__init__.py
@@ -1,4 +1,10 @@
-"""Requests that survive: acceptance, attempts, takeover and answers."""
+"""Runs accepted requests to an outcome, across failures of hosts and upstreams.
+
+The entry host that accepts a request owns it and replicates its state over a link to
+one backup host, called `second` in the messages between hosts. If the owner fails, the
+replicated log decides whether the backup takes over the requests of that link. Clients
+read only tokens and outcomes that the backup has acknowledged.
+"""
 
 from pepperstep.requests.links import LINK_MACHINE, LinkMachine
 from pepperstep.requests.mover import MoveSettings, TerminationNotice
--- a/src/pepperstep/requests/acceptance.py
+++ b/src/pepperstep/requests/acceptance.py
@@ -1,4 +1,4 @@
-"""Takes requests on: key, record at a second host, and claim."""
+"""Accepts requests: idempotency key, backup record and claim."""
 
 from pepperstep.claims import ClaimAnswer, ClaimStatus
 from pepperstep.entities import Outcome, Request
@@ -12,17 +12,17 @@
 
 __all__ = ["Acceptance"]
 
-# A request that isn't recorded or claimed after this time is refused.
+# A request that isn't recorded or claimed within this time is refused.
 _ACCEPT_TIMEOUT_SECONDS = 3.0
 _RETRY_DELAY_SECONDS = 0.1
-# A second that hasn't recorded a refusal after this time may not know of it.
+# A refusal that isn't replicated within this time is reported as MAY_HAVE_RUN.
 _REFUSAL_TIMEOUT_SECONDS = 0.5
-# Time that an earlier request with the key is searched for.
+# How long to search for an earlier request with the same key.
 _SEARCH_TIMEOUT_SECONDS = 3.0
 
 
 class Acceptance:
-    """Decides which request answers a caller: the new one or an earlier one."""
+    """Decides whether a new request or an earlier one answers the caller."""
 
     def __init__(
         self,
@@ -39,9 +39,9 @@
         self._timers = timers
 
     async def accept(self, run: Run) -> str:
-        """Return the id of the request that answers, `run` or an earlier one.
+        """Return the id of the request that answers: `run` or an earlier one.
 
-        Raise `Failure` if there is none. `run` hasn't run then, and won't.
+        Raise `Failure` if there is none; `run` has then not run and never will.
         """
         request = run.request
         if request.is_repeatable and request.idempotency_key:
@@ -52,9 +52,10 @@
         return run.id if request.is_repeatable else await self.claim(run)
 
     async def claim(self, run: Run) -> str:
-        """Return the id of the request that has the claim or its answer.
+        """Return the id of the request that holds the claim.
 
-        Raise `Failure` if the claim isn't granted and no answer is known.
+        If the claim already has an outcome, the run adopts it and its own id is
+        returned. Raise `Failure` if the claim isn't granted and no answer is known.
         """
         give_up_at = self._timers.now() + _SEARCH_TIMEOUT_SECONDS
         while True:
@@ -73,7 +74,8 @@
             found = await self._finder.find(holder)
             if found.status in (LookupStatus.OWNED, LookupStatus.HELD):
                 return holder
-            # A holder that didn't run frees its claim soon.
+            # A holder that hasn't run releases its claim soon, so asking again may
+            # succeed.
             if self._timers.now() > give_up_at:
                 if found.status is LookupStatus.FAILED:
                     return holder
@@ -81,7 +83,7 @@
             await self._timers.sleep(_RETRY_DELAY_SECONDS)
 
     async def take_over_claim(self, run: Run) -> None:
-        """Take over the claim of an ended run's earlier owner, if it is open."""
+        """Acquire the previous owner's claim for an ended run, if it is open."""
         while run.claim is None and run.is_backup_needed and not run.is_lost:
             try:
                 answer = await self._request_claim(run)
@@ -95,10 +97,11 @@
             run.claim = answer.claim
 
     async def refuse(self, run: Run, failure: Failure) -> Failure:
-        """End a run that won't run, and return what to tell its caller.
+        """End a run that won't be executed and return the failure for its caller.
 
-        A caller with the same key could make another host run it that has a copy
-        and doesn't know of the refusal: it may have run, as far as is known here.
+        If a backup may have a copy of the run but not the refusal, it could take over
+        and execute the run for a caller with the same key. The failure then says that
+        the request may have run.
         """
         run.outcome = _failed_outcome(failure)
         is_safe = not run.request.idempotency_key or not self._journal.is_sent(run)
@@ -113,7 +116,7 @@
         return failure
 
     async def _reserve(self, request: Request) -> str:
-        """Return the id of the request that has the idempotency key."""
+        """Return the id of the request that holds the idempotency key."""
         replaces = ""
         give_up_at = self._timers.now() + _SEARCH_TIMEOUT_SECONDS
         while True:
@@ -127,7 +130,7 @@
                 return holder.request_id
             is_timed_out = self._timers.now() > give_up_at
             if is_timed_out or found.status is not LookupStatus.UNCLEAR:
-                # It has failed or is lost, and may run again as another one.
+                # The earlier request failed or is lost, so the new one replaces it.
                 replaces = holder.request_id
                 continue
             await self._timers.sleep(_RETRY_DELAY_SECONDS)
@@ -159,7 +162,7 @@
         return max(0.0, min(_ACCEPT_TIMEOUT_SECONDS, remaining))
 
     def _adopt_answer(self, run: Run, answer: RecordedAnswer) -> None:
-        """End a run with the answer that its claim has."""
+        """End a run with the answer recorded in its claim."""
         if run.outcome is not None:
             return
         run.tokens[:] = answer.tokens
--- a/src/pepperstep/requests/answer_check.py
+++ b/src/pepperstep/requests/answer_check.py
@@ -1,4 +1,4 @@
-"""Checks that an answer is whole and the attempt's own."""
+"""Checks that an answer is complete and belongs to its attempt."""
 
 from pepperstep.observability.recorder import ChunkFault, NullRecorder, Recorder
 from pepperstep.ports.upstreams import EndMark, TokenChunk, UpstreamLost
@@ -7,7 +7,7 @@
 
 
 class AnswerCheck:
-    """Follows the chunks of one attempt, which goes on behind `tokens`.
+    """Validates the chunks of one attempt, which continues after `tokens`.
 
     The owner of `tokens` appends what `check_chunk` returns.
     """
@@ -23,10 +23,10 @@
         self._recorder = recorder or NullRecorder()
 
     def check_chunk(self, chunk: TokenChunk) -> tuple[str, ...]:
-        """Return the chunk's new tokens, none if it came before.
+        """Return the chunk's new tokens, none if all were received before.
 
-        Raise `UpstreamLost` for another's chunk, a gap, or other tokens at a
-        position that came before.
+        Raise `UpstreamLost` for a chunk of another attempt, a gap, or tokens that
+        differ from those received before at the same position.
         """
         self._check_attempt_id(chunk.attempt_id)
         expected = len(self._tokens)
@@ -38,7 +38,7 @@
         return self._drop_repeated(chunk, expected - chunk.position)
 
     def check_end(self, mark: EndMark) -> None:
-        """Raise `UpstreamLost` if the end mark doesn't fit the chunks."""
+        """Raise `UpstreamLost` if the end mark doesn't match the chunks."""
         self._check_attempt_id(mark.attempt_id)
         expected = len(self._tokens)
         if mark.count != expected:
@@ -60,7 +60,7 @@
         raise UpstreamLost(f"Answer of {attempt_id} came to {self._attempt_id}.")
 
     def _fault_of(self, attempt_id: str) -> ChunkFault:
-        """Tell a chunk of this request's earlier attempt from another's."""
+        """Distinguish an earlier attempt of this request from another request."""
         request_id = self._attempt_id.rsplit(".", 2)[0]
         is_same_request = attempt_id.rsplit(".", 2)[0] == request_id
         return ChunkFault.LATE if is_same_request else ChunkFault.CROSSED
--- a/src/pepperstep/requests/attempts.py
+++ b/src/pepperstep/requests/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts that are open on upstreams, and how they are stopped."""
+"""Attempts in progress on upstreams, and how to stop them."""
 
 import enum
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 
 
 class Cause(enum.StrEnum):
-    """Why a request needs one more attempt."""
+    """Why a request needs another attempt."""
 
     RECLAIM = "reclaim"
     CRASH = "crash"
@@ -25,17 +25,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Resumption:
-    """How a request goes on after its attempt was stopped."""
+    """How a request continues after its attempt was stopped."""
 
     cause: Cause
-    # Upstream to go on at, "" for any.
+    # Upstream for the next attempt, "" for any.
     target: str = ""
-    # Attempt whose KV cache has arrived there, "" for none.
+    # Attempt whose KV cache the target has imported, "" for none.
     imported_attempt: str = ""
 
 
 class AttemptStopped(Exception):
-    """An attempt was stopped here, for the request to go on elsewhere."""
+    """Raised when this host stops an attempt so that the request moves elsewhere."""
 
     def __init__(self, resumption: Resumption):
         super().__init__(f"Stopped: {resumption.cause}.")
@@ -43,17 +43,17 @@
 
 
 class ActiveAttempt:
-    """An attempt whose answer is being read."""
+    """An attempt whose answer stream is being read."""
 
     def __init__(self, run: Run, upstream: Upstream, attempt_id: str, now: float):
         self.run = run
         self.upstream = upstream
         self.attempt_id = attempt_id
-        # Tokens that the request had at the attempt's start.
+        # Number of tokens that the request had when the attempt started.
         self.start = len(run.tokens)
         self.last_chunk_at = now
         self.is_ended = False
-        # Whether its KV cache is on the way, so that its stream may break.
+        # Whether its KV cache is being exported, which may end its stream.
         self.is_exporting = False
         self.scope = trio.CancelScope()
         self._resumption: Resumption | None = None
@@ -61,41 +61,41 @@
 
     @property
     def is_stopped(self) -> bool:
-        """Whether the attempt is to be given up."""
+        """Whether `stop` was called."""
         return self._resumption is not None
 
     def stop(self, resumption: Resumption) -> None:
-        """Give the attempt up; the first call counts."""
+        """Stop the attempt; later calls don't change the resumption."""
         if self._resumption is None:
             self._resumption = resumption
         self._stopped.set()
         self.scope.cancel()
 
     async def wait_stopped(self) -> Resumption:
-        """Return how the request goes on, once the attempt was stopped."""
+        """Wait until the attempt is stopped and return how the request continues."""
         await self._stopped.wait()
         return self._resumption
 
 
 class Attempts:
-    """All open attempts of this host."""
+    """All attempts in progress on this host."""
 
     def __init__(self) -> None:
         self._active: dict[str, ActiveAttempt] = {}
 
     def add(self, active: ActiveAttempt) -> None:
-        """Take in an attempt."""
+        """Add an attempt that has started."""
         self._active[active.attempt_id] = active
 
     def remove(self, active: ActiveAttempt) -> None:
-        """Forget an attempt that has ended."""
+        """Remove an attempt that has ended."""
         active.is_ended = True
         self._active.pop(active.attempt_id, None)
 
     def active(self) -> list[ActiveAttempt]:
-        """Return all open attempts."""
+        """Return all attempts in progress."""
         return list(self._active.values())
 
     def count_on(self, upstream: str) -> int:
-        """Return the number of open attempts on an upstream."""
+        """Return the number of attempts in progress on an upstream."""
         return sum(each.upstream.name == upstream for each in self._active.values())
--- a/src/pepperstep/requests/backup_records.py
+++ b/src/pepperstep/requests/backup_records.py
@@ -1,4 +1,4 @@
-"""Records that this host keeps as second host for owners."""
+"""Request records that this host keeps as the backup for their owners."""
 
 from collections import OrderedDict
 from collections.abc import Callable, Iterable
@@ -17,19 +17,22 @@
 __all__ = ["BackupRecords"]
 
 _DECISION_TIMEOUT_SECONDS = 2.0
-# Ended links that are remembered, so that a late message revives none.
+# Ended links are remembered so that a delayed message can't revive them.
 _MAX_ENDED_LINKS = 20_000
 
 
 class _RequestFields(msgspec.Struct):
-    """What a second needs to know of a request."""
+    """The fields of an encoded request that a backup host reads."""
 
     deadline: float
 
 
 @dataclass(slots=True)
 class _BackupRecord:
-    """A record, the request's deadline (Unix time) and the last change."""
+    """A record with the request's deadline (Unix time) and its last change.
+
+    `updated_at` is a monotonic time.
+    """
 
     record: journal_pb2.RequestRecord
     deadline: float
@@ -37,11 +40,11 @@
 
 
 class _BackupLink:
-    """Records of one link, by request id."""
+    """The records of one link, by request id."""
 
     def __init__(self, link: journal_pb2.Link):
         self.link = link
-        # Whether a takeover was proposed, which may be granted at any time.
+        # Whether a takeover was proposed, so that it may be granted at any time.
         self.is_takeover_pending = False
         self.is_granted = False
         self.sequence = 0
@@ -49,7 +52,7 @@
         self.records: dict[str, _BackupRecord] = {}
 
     def request_ids_by_prior_link(self) -> list[tuple[journal_pb2.Link, set[str]]]:
-        """Return the links that came before this one for some records."""
+        """Return the prior links of the records, each with its request ids."""
         found: dict[LinkKey, tuple[journal_pb2.Link, set[str]]] = {}
         for request_id, backup in self.records.items():
             for prior in backup.record.priors:
@@ -57,7 +60,7 @@
         return list(found.values())
 
     def taken_over(self, wanted: set[str]) -> set[str] | None:
-        """Return what a takeover takes of the requests, None if it isn't known."""
+        """Return the requests that a takeover covers, or None while undecided."""
         present = {each for each in wanted if each in self.records}
         has_priors = any(self.records[each].record.priors for each in present)
         return present if self.is_granted and not has_priors else None
@@ -65,14 +68,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _EndedLink:
-    """A link that isn't held any more: dropped, or taken over with requests."""
+    """A link that is no longer kept: dropped, or taken over with its requests."""
 
     is_taken: bool = False
     request_ids: tuple[str, ...] = ()
 
 
 class BackupRecords:
-    """All links on which this host is the second."""
+    """All links for which this host is the backup."""
 
     def __init__(
         self,
@@ -91,7 +94,7 @@
     async def handle_open(
         self, message: journal_pb2.OpenLink, sender: str
     ) -> journal_pb2.LinkOpened:
-        """Start to hold a link."""
+        """Start keeping records for a link."""
         key = link_key(message.link)
         if key in self._ended:
             raise Failure(Code.FENCED, "The link has ended.")
@@ -101,7 +104,7 @@
     async def handle_batch(
         self, batch: journal_pb2.JournalBatch, sender: str
     ) -> journal_pb2.JournalAck:
-        """Record a batch of an owner."""
+        """Apply a batch of changes from an owner."""
         key = link_key(batch.link)
         backup = self._links.get(key)
         if backup is None or batch.link.second_incarnation != self._incarnation:
@@ -121,7 +124,7 @@
     async def handle_forget(
         self, message: journal_pb2.ForgetLink, sender: str
     ) -> journal_pb2.LinkForgotten:
-        """Forget a link that the agreed log has dropped."""
+        """Remove a link that the replicated log has dropped."""
         backup = self._links.get(link_key(message.link))
         if backup is None or not backup.is_takeover_pending:
             self._end(message.link, _EndedLink())
@@ -130,11 +133,11 @@
     async def handle_list(
         self, message: journal_pb2.ListTaken, sender: str
     ) -> journal_pb2.TakenRequests:
-        """Tell the earlier owner of a link what was taken over with it."""
+        """Tell a link's previous owner which of its requests were taken over."""
         return self._list_taken(message.link, set(message.request_ids))
 
     def add_runs(self, link: journal_pb2.Link, runs: Iterable[Run]) -> None:
-        """Hold runs that another host has taken over, for its first moments."""
+        """Keep runs that another host has just taken over from this one."""
         if link_key(link) in self._ended:
             return
         backup = self._links.setdefault(link_key(link), _BackupLink(link))
@@ -144,7 +147,7 @@
     def links_to_take_over(
         self, is_gone: Callable[[str, int], bool]
     ) -> list[journal_pb2.Link]:
-        """Return the links to take over, as their owner is gone or asked for it."""
+        """Return links whose owner is gone or whose takeover is pending."""
         return [
             backup.link
             for backup in self._links.values()
@@ -153,21 +156,21 @@
         ]
 
     def owner_of(self, request_id: str) -> str | None:
-        """Return the owner of a request that is held here."""
+        """Return the owner of a request that this host backs up, else None."""
         for backup in self._links.values():
             if request_id in backup.records:
                 return backup.link.owner
         return None
 
     def has_taken_over(self, link: journal_pb2.Link) -> bool:
-        """Whether this host has taken the link over."""
+        """Whether this host has taken over the link."""
         return self._ended.get(link_key(link), _EndedLink()).is_taken
 
     async def take_over(self, link: journal_pb2.Link) -> list[Run]:
-        """Return the runs that this host owns from now on.
+        """Take over a link and return the runs that this host now owns.
 
-        Raise `Failure` if that isn't known; ask again then, as the takeover may
-        be granted later.
+        Raise `Failure` if the decision isn't known; call again then, as the takeover
+        may still be granted.
         """
         backup = self._links.get(link_key(link))
         if backup is None:
@@ -179,7 +182,7 @@
         backup.is_granted = is_granted
         taken_elsewhere = await self._drop_prior_links(backup) if is_granted else {}
         if link_key(link) not in self._links:
-            # Another call has ended it.
+            # A concurrent call has ended the link.
             return []
         if not is_granted:
             self._end(link, _EndedLink())
@@ -191,11 +194,11 @@
         ]
         ids = tuple(record.request_id for record in records)
         self._end(link, _EndedLink(is_taken=True, request_ids=ids))
-        logging.info("requests: Took over %d requests of %s.", len(ids), link.owner)
+        logging.info("requests: Took over %d requests from %s.", len(ids), link.owner)
         return [Run.from_record(record) for record in records]
 
     def prune(self, keep_seconds: float) -> None:
-        """Forget requests that ended, or whose deadline passed, that long ago."""
+        """Remove requests that ended or expired more than `keep_seconds` ago."""
         changed_by = self._timers.now() - keep_seconds
         due_by = self._timers.wall() - keep_seconds
         for backup in self._links.values():
@@ -207,7 +210,7 @@
                     del backup.records[request_id]
 
     async def _drop_prior_links(self, backup: _BackupLink) -> dict[LinkKey, set[str]]:
-        """Return, by earlier link, the requests that went over with it."""
+        """Return, by prior link, the requests that were taken over with it."""
         taken: dict[LinkKey, set[str]] = {}
         for prior, request_ids in backup.request_ids_by_prior_link():
             if not await self._decisions.drop(prior, _DECISION_TIMEOUT_SECONDS):
@@ -215,7 +218,7 @@
         return taken
 
     async def _query_taken(self, link: journal_pb2.Link, wanted: set[str]) -> set[str]:
-        """Return those of the requests that went over with another link."""
+        """Return those of the requests that were taken over with another link."""
         key = link_key(link)
         if key in self._links or key in self._ended:
             return self._takeovers.read(self._list_taken(link, wanted), wanted)
@@ -288,6 +291,6 @@
 def _is_owned(
     record: journal_pb2.RequestRecord, taken_elsewhere: dict[LinkKey, set[str]]
 ) -> bool:
-    """Whether the request didn't go over with one of the record's earlier links."""
+    """Whether the request was not taken over with one of its prior links."""
     keys = map(link_key, record.priors)
     return not any(record.request_id in taken_elsewhere.get(key, ()) for key in keys)
--- a/src/pepperstep/requests/broadcast.py
+++ b/src/pepperstep/requests/broadcast.py
@@ -1,4 +1,4 @@
-"""Tells items to all entry hosts, again and again until each acknowledges."""
+"""Broadcasts items to all entry hosts, resending until each acknowledges."""
 
 import random
 from collections.abc import Callable, Iterable
@@ -16,7 +16,7 @@
 
 _RESEND_INTERVAL_SECONDS = 0.25
 _CALL_TIMEOUT_SECONDS = 0.5
-# Hosts that a host tells of what it was told, should the origin have ended.
+# A host forwards received items to this many others, in case the origin has failed.
 _FORWARD_HOSTS = 2
 _PULL_HOSTS = 2
 _PULL_TRIES = 5
@@ -27,17 +27,17 @@
 @dataclass(slots=True)
 class _Entry(Generic[T]):
     item: T
-    # Unix time at which the item is forgotten.
+    # Unix time at which the item expires.
     until: float
     is_own: bool
     acknowledged_by: set[str] = field(default_factory=set)
 
 
 class Broadcast(Generic[T]):
-    """Items by id, of which all entry hosts learn.
+    """Items by id that are broadcast to all entry hosts.
 
-    `build` makes the message that carries some items, or that asks for all;
-    `read` takes the items of a message that another host answered.
+    `build` creates the message that carries some items, or that requests all items;
+    `read` processes the items of another host's answer.
     """
 
     def __init__(
@@ -62,7 +62,10 @@
         self._wake = trio.Event()
 
     def add(self, item_id: str, item: T, until: float, is_own: bool = True) -> bool:
-        """Tell an item to all, or to few if it was told here; False if known."""
+        """Broadcast an item; return False if it is known or expired.
+
+        An item of this host's own goes to all entry hosts, a received one to a few.
+        """
         if item_id in self._entries or until <= self._timers.wall():
             return False
         self._entries[item_id] = _Entry(item, until, is_own)
@@ -70,12 +73,12 @@
         return True
 
     def items(self) -> list[T]:
-        """Return all items that hold now."""
+        """Return all items that haven't expired."""
         now = self._timers.wall()
         return [entry.item for entry in self._entries.values() if entry.until > now]
 
     async def run(self) -> None:
-        """Tell items until cancelled."""
+        """Send items until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._pull)
             while True:
@@ -125,7 +128,7 @@
             entry.acknowledged_by.add(peer)
 
     async def _pull(self) -> None:
-        """Learn what was told before this host started."""
+        """Request the items that were broadcast before this host started."""
         for _ in range(_PULL_TRIES):
             for peer in self._others()[:_PULL_HOSTS]:
                 try:
--- a/src/pepperstep/requests/claim_registry.py
+++ b/src/pepperstep/requests/claim_registry.py
@@ -1,4 +1,4 @@
-"""What requests that aren't repeatable need of the agreed claims."""
+"""Claims that allow non-repeatable requests to run at most once."""
 
 from typing import Protocol
 
@@ -12,7 +12,7 @@
 
 
 class ClaimRegistry(Protocol):
-    """Claims that a quorum has committed (see `pepperstep.claims.Claims`)."""
+    """Claims committed by a quorum (see `pepperstep.claims.Claims`)."""
 
     async def claim(
         self,
@@ -30,7 +30,7 @@
 
 
 class NoClaims:
-    """Claims of a host without a log: nothing can be claimed."""
+    """Registry of a host without a replicated log, which grants no claims."""
 
     async def claim(
         self,
@@ -41,7 +41,7 @@
         timeout: float,
         epoch: int = 1,
     ) -> ClaimAnswer:
-        """Raise `Failure`."""
+        """Raise `Failure` with `NO_QUORUM`."""
         raise Failure(Code.NO_QUORUM, "This host keeps no claims.")
 
     async def finish(self, claim: Claim, outcome: ClaimOutcome, timeout: float) -> bool:
@@ -50,14 +50,14 @@
 
 
 class RecordedAnswer(msgspec.Struct, frozen=True):
-    """Tokens and outcome of an answered request, as its claim keeps them."""
+    """Tokens and outcome of an answered request, as stored in its claim."""
 
     tokens: list[str]
     outcome: Outcome
 
     @classmethod
     def from_claim(cls, claim: Claim) -> "RecordedAnswer":
-        """Return what a finished claim says."""
+        """Return the answer that a finished claim contains."""
         if claim.outcome.answer:
             return msgspec.json.decode(claim.outcome.answer, type=cls)
         text = "A request with this key may have run; there is no answer."
@@ -69,12 +69,12 @@
 
 
 def claim_key(request: Request) -> str:
-    """Return the key under which a request that isn't repeatable is claimed."""
+    """Return the key under which a non-repeatable request is claimed."""
     return request.idempotency_key or request.id
 
 
 def claim_outcome(tokens: list[str], outcome: Outcome) -> ClaimOutcome:
-    """Return what a claim is to keep of a request that has ended."""
+    """Return the outcome to store in the claim of a request that has ended."""
     if outcome.is_answered:
         return ClaimOutcome.from_answer(
             msgspec.json.encode(RecordedAnswer(tokens, outcome))
--- a/src/pepperstep/requests/crash_guard.py
+++ b/src/pepperstep/requests/crash_guard.py
@@ -1,7 +1,8 @@
-"""Keeps a request that crashes upstreams from more than two of them.
+"""Limits the upstreams that a crashing request can end to two.
 
-Each run of a content is permitted by the first entry host in the content's
-ranking. Verdicts are told to all entry hosts.
+The content of a request is a hash of what may crash an upstream. For each content one
+entry host, the first in its rendezvous order, admits the runs and counts the upstreams
+lost. Blocked contents are announced to all entry hosts in verdicts.
 """
 
 import itertools
@@ -26,21 +27,22 @@
 
 __all__ = ["CrashGuard"]
 
-# What a first token waits for is asked with less patience.
+# Admission delays the first token, so its timeout is short.
 _PERMISSION_TIMEOUT_SECONDS = 0.1
 _PERMISSION_TRIES = 3
 _CALL_TIMEOUT_SECONDS = 0.25
 _CALL_TRIES = 4
-# A host that didn't answer isn't asked for this time if no suspect needs it.
+# A host that didn't answer is skipped for this time, unless the run is a suspect.
 _AVOIDANCE_SECONDS = 1.0
 _FLUSH_INTERVAL_SECONDS = 0.5
 _RENEWAL_INTERVAL_SECONDS = 1.0
-# Hosts that keep note of a loss: the one that decides and the one after it.
+# Number of hosts that keep a content's state: the deciding host and the next one, which
+# decides if the first one fails.
 _DECISION_HOSTS = 2
 
 
 class CrashGuard:
-    """Guard that permits, suspects and convicts contents among all entry hosts."""
+    """Admits, suspects and blocks contents, together with all other entry hosts."""
 
     def __init__(
         self,
@@ -60,14 +62,15 @@
         self._verdicts = Broadcast(
             host, peers, timers, directory, rng, _build_verdicts, self._add_verdicts
         )
-        # Requests of which the next host took note as well.
+        # Requests whose state was also sent to the next host in the order.
         self._replicated_ids: set[str] = set()
-        # Upstreams that runs of this host hold, by request id.
+        # Upstreams reserved for runs of this host, by request id.
         self._reservations: dict[str, str] = {}
-        # What ended and wasn't told yet, by deciding host.
+        # Ends of runs that are still to be sent, by deciding host.
         self._unsent_ends: dict[str, list[verdicts_pb2.EndedRun]] = {}
         self._avoided_until: dict[str, float] = {}
-        # The last entry of each run, so that a late end doesn't end a newer one.
+        # Serial number of each run's last admission, so that a delayed end doesn't end
+        # a later one.
         self._serials = itertools.count(1)
         self._serial_by_request: dict[str, int] = {}
         self._nursery: trio.Nursery | None = None
@@ -82,7 +85,7 @@
             peers.handle(message_type, handler)
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED) -> None:
-        """Tell verdicts and ends of runs until cancelled."""
+        """Send verdicts and ends of runs until cancelled."""
         async with trio.open_nursery() as self._nursery:
             self._nursery.start_soon(self._verdicts.run)
             self._nursery.start_soon(self._flush_ended)
@@ -91,7 +94,7 @@
             await trio.sleep_forever()
 
     def check(self, request: Request) -> None:
-        """Raise `Failure` with `CRASHING_REQUEST` for a convicted content."""
+        """Raise `Failure` with `CRASHING_REQUEST` for a blocked content."""
         verdict = self._suspects.active_verdict(
             content_hash(request), self._timers.wall()
         )
@@ -99,7 +102,7 @@
             raise self._blocked_failure(verdict, Execution.NOT_RUN)
 
     def ignore_losses(self, upstreams: Iterable[Upstream]) -> None:
-        """Count the loss of upstreams that were reclaimed against no content."""
+        """Count the loss of these reclaimed upstreams against no content."""
         keys = [incarnation_id(upstream) for upstream in upstreams]
         self._suspects.ignore_losses(keys, self._timers.wall())
 
@@ -118,7 +121,8 @@
         )
         answer = await self._request_permission(message)
         if answer is None:
-            # Nobody can decide: a suspect waits, all else goes on.
+            # No deciding host answers. A suspect waits; other runs start, so that the
+            # guard is no point of failure for ordinary requests.
             is_suspect = bool(run.lost_upstreams)
             return Admission(Permission.WAIT if is_suspect else Permission.GRANTED)
         if answer.permission == verdicts_pb2.PERMISSION_REFUSED:
@@ -132,7 +136,7 @@
         return _build_admission(answer)
 
     async def reserve_upstream(self, run: Run, upstream: Upstream) -> bool:
-        """Return whether the run is the only suspect on the upstream now."""
+        """Return whether the run is now the only suspect on the upstream."""
         key = incarnation_id(upstream)
         if not await self._reserve(run.id, key):
             return False
@@ -140,19 +144,19 @@
         return True
 
     def release_upstream(self, run: Run, upstream: Upstream) -> None:
-        """Let other suspects run on an upstream that was held."""
+        """Release the upstream, if reserved, so that other suspects may run on it."""
         key = self._reservations.pop(run.id, None)
         if key is not None:
             self._nursery.start_soon(self._reserve, run.id, key, True)
 
     def record_passed(self, run: Run) -> None:
-        """Note that a suspect ran on past its loss, then release its upstream."""
+        """Record that a suspect survived its earlier loss; release its upstream."""
         key = self._reservations.pop(run.id, None)
         ended = self._build_end(run, verdicts_pb2.RUN_END_PASSED)
         self._nursery.start_soon(self._send_passed, run.id, ended, key)
 
     def record_end(self, run: Run, is_answered: bool) -> None:
-        """Note that the run is on no upstream now."""
+        """Record that the run is on no upstream any longer."""
         end = verdicts_pb2.RUN_END_OPEN
         if is_answered:
             end = verdicts_pb2.RUN_END_ANSWERED
@@ -165,7 +169,7 @@
     ) -> bool:
         """Return whether a loss counts against the run's content.
 
-        Raise `Failure` with `CRASHING_REQUEST` if it convicts the content.
+        Raise `Failure` with `CRASHING_REQUEST` if the loss blocks the content.
         """
         message = verdicts_pb2.ReportLoss(
             content=content_hash(run.request),
@@ -188,7 +192,7 @@
     async def _request_permission(
         self, message: verdicts_pb2.RunContent
     ) -> verdicts_pb2.RunAnswer | None:
-        """Return the deciding host's answer, or else that of the next host."""
+        """Return the answer of the deciding host, or of the next host in the order."""
         for host in self._rank(message.content)[:_DECISION_HOSTS]:
             is_avoided = self._avoided_until.get(host, 0.0) > self._timers.now()
             if is_avoided and not message.lost:
@@ -204,10 +208,10 @@
     async def _send_loss(
         self, message: verdicts_pb2.ReportLoss
     ) -> verdicts_pb2.LossAnswer | None:
-        """Tell a loss to the deciding host, or else let the next one decide.
+        """Report a loss to the deciding host, or to the next one if it fails.
 
-        The next one takes note at the same time: the deciding host may have
-        ended, and others ask the next one meanwhile.
+        The next host gets a copy at the same time, because other entry hosts already
+        ask it if the deciding host has ended.
         """
         first, *others = self._rank(message.content)[:_DECISION_HOSTS]
         note = verdicts_pb2.ReportLoss()
@@ -225,22 +229,22 @@
         try:
             return await self._call(host, message)
         except Failure:
-            logging.warning("verdicts: %s doesn't answer.", host)
+            logging.warning("verdicts: %s doesn't respond.", host)
             return None
 
     async def _send_copy(self, message: Message, hosts: list[str]) -> None:
-        """Let the host that would decide next know what was decided."""
+        """Send a decision to the hosts that would decide next."""
         message.is_decided = True
         for host in hosts:
             try:
                 await self._call(host, message)
             except Failure:
-                logging.info("verdicts: %s didn't take a note.", host)
+                logging.info("verdicts: %s didn't receive a decision.", host)
 
     async def _reserve(
         self, request_id: str, key: str, is_release: bool = False
     ) -> bool:
-        """Ask two hosts, so that one of them may end, or release at both."""
+        """Reserve an upstream at two hosts, so that one may fail, or release it."""
         message = verdicts_pb2.HoldUpstream(
             upstream=key, request_id=request_id, is_release=is_release
         )
@@ -265,7 +269,7 @@
         timeout: float = _CALL_TIMEOUT_SECONDS,
         tries: int = _CALL_TRIES,
     ) -> Message:
-        """Return a host's answer; all messages here may come twice."""
+        """Return a host's answer; all messages sent here are idempotent."""
         if host == self._host:
             handler = self._handlers[type(message)]
             return await handler(message, host)
@@ -362,7 +366,7 @@
     def _add_verdict(self, verdict: verdicts_pb2.Verdict, is_own: bool) -> None:
         if self._verdicts.add(verdict.content, verdict, verdict.until, is_own):
             logging.warning(
-                "verdicts: A content ended %s and is refused.",
+                "verdicts: Blocking a content that crashed %s.",
                 " and ".join(verdict.upstreams),
             )
         self._suspects.add_verdict(verdict, self._timers.wall())
--- a/src/pepperstep/requests/driver.py
+++ b/src/pepperstep/requests/driver.py
@@ -1,4 +1,4 @@
-"""Brings one accepted request to its outcome, by one attempt after another."""
+"""Executes an accepted request, retrying until it has an outcome."""
 
 from absl import logging
 
@@ -34,8 +34,8 @@
 __all__ = ["Driver", "attempt_id_of"]
 
 _CANCEL_TIMEOUT_SECONDS = 0.5
-# Wait before a suspect's second loss is looked into, so that the loss of a
-# whole zone shows.
+# When a zone fails, its upstreams don't all fail at the same instant. Waiting before
+# the next loss of a suspect is diagnosed lets the zone failure become visible.
 _ZONE_LOSS_DELAY_SECONDS = 0.2
 _CAUSE_BY_HEALTH = {
     Health.ALIVE: Cause.BROKEN_STREAM,
@@ -68,12 +68,12 @@
 
 
 def attempt_id_of(run: Run) -> str:
-    """Return the id of the run's current attempt, which no other attempt has."""
+    """Return the unique id of the run's current attempt."""
     return f"{run.id}.{run.epoch}.{run.attempt}"
 
 
 class Driver:
-    """Runs requests on upstreams that the router chooses."""
+    """Executes requests on upstreams that the router chooses."""
 
     def __init__(
         self,
@@ -133,7 +133,7 @@
     async def _attempt_until_answered(self, run: Run) -> Outcome:
         plan = AttemptPlan()
         if run.is_dispatched:
-            # This host has taken the request over.
+            # This host has taken over the request, as a new run starts undispatched.
             self._check_repeatable(run, False)
             await self._diagnose_inherited_loss(run, plan)
         while True:
@@ -155,7 +155,7 @@
     async def _try_placement(
         self, run: Run, placement: Placement, plan: AttemptPlan
     ) -> Outcome | None:
-        """Return the outcome of one attempt, None if there is to be another."""
+        """Return the outcome of one attempt, or None if another attempt is needed."""
         start = len(run.tokens)
         was_dispatched = run.is_dispatched
         try:
@@ -177,7 +177,7 @@
     async def _attempt_and_report(
         self, placement: Placement, run: Run, plan: AttemptPlan
     ) -> Outcome:
-        """Run an attempt, and tell the router how it failed."""
+        """Run one attempt and report a failure to the router."""
         try:
             with placement:
                 try:
@@ -244,7 +244,7 @@
                 order = _build_order(run, imported_attempt)
                 return await self._read_stream(active, placement, plan, order)
         except UpstreamLost:
-            # An export ends the stream of its attempt.
+            # Exporting the KV cache ends the stream, so this isn't a failure.
             if not active.is_exporting and not active.is_stopped:
                 raise
         finally:
@@ -305,7 +305,7 @@
         order: GenerateOrder,
         mark: EndMark | None,
     ) -> None:
-        """Count what this attempt computed that an earlier one had computed."""
+        """Count tokens that an earlier attempt had already computed."""
         if cause not in _RECOMPUTE_CAUSES:
             return
         tokens = 0
@@ -319,7 +319,7 @@
     async def _diagnose_loss(
         self, run: Run, upstream: Upstream, plan: AttemptPlan, start: int
     ) -> None:
-        """Find out how an attempt was lost, for the next one to go on."""
+        """Find out why an attempt was lost, and prepare the plan for the next one."""
         plan.target = plan.imported_attempt = ""
         if self._moves.is_leaving(upstream):
             plan.cause = Cause.RECLAIM
@@ -339,7 +339,7 @@
         self._check_repeatable(run, is_ended)
 
     async def _diagnose_inherited_loss(self, run: Run, plan: AttemptPlan) -> None:
-        """Report the loss of an upstream that the earlier owner didn't live to."""
+        """Report an upstream loss that the previous owner failed before reporting."""
         upstream = self._probes.last_seen(run.upstream)
         is_reported = any(
             key.startswith(f"{run.upstream}/") for key in run.lost_upstreams
@@ -349,7 +349,7 @@
         plan.cause = Cause.TAKEOVER
 
     async def _confirm_end(self, run: Run, upstream: Upstream) -> bool:
-        """Cancel the last attempt; return whether the upstream confirmed its end."""
+        """Cancel the last attempt and return whether the upstream confirmed its end."""
         if run.request.kind is RequestKind.SERVICE:
             return False
         with self._timers.move_on_after(_CANCEL_TIMEOUT_SECONDS):
@@ -360,7 +360,7 @@
         return False
 
     def _check_repeatable(self, run: Run, is_ended: bool) -> None:
-        """Raise `Failure` if another attempt could run what must run once."""
+        """Raise `Failure` if a retry could execute a non-repeatable request twice."""
         if run.request.is_repeatable or is_ended:
             return
         raise Failure(
--- a/src/pepperstep/requests/finder.py
+++ b/src/pepperstep/requests/finder.py
@@ -1,4 +1,4 @@
-"""Finds the host that owns a request."""
+"""Finds the owner of a request among the entry hosts."""
 
 import enum
 from dataclasses import dataclass
@@ -17,23 +17,23 @@
 __all__ = ["Finder", "LookupResult", "LookupStatus"]
 
 _CALL_TIMEOUT_SECONDS = 0.5
-# Hosts asked at once; each round asks twice as many.
+# Number of hosts asked concurrently; it doubles with each round.
 _FIRST_ROUND_HOSTS = 8
 
 _State = journal_pb2.FoundRequest
 
 
 class LookupStatus(enum.Enum):
-    """What is known of a request's owner."""
+    """What a lookup found out about a request."""
 
     OWNED = enum.auto()
-    # Owned, and ended by a failure.
+    # Owned, but the request failed.
     FAILED = enum.auto()
-    # A second keeps a copy, and may take over.
+    # A backup host keeps a copy and may take over the request.
     HELD = enum.auto()
-    # All hosts answered, and none knows the request.
+    # All hosts answered and none knows the request.
     NOWHERE = enum.auto()
-    # No host that answered knows the request.
+    # No host that answered knows the request, but some didn't answer.
     UNCLEAR = enum.auto()
 
 
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LookupResult:
-    """Result of a search; `owner` is empty unless the request is owned."""
+    """Result of a lookup; `owner` is empty unless the request is owned."""
 
     status: LookupStatus
     owner: str = ""
@@ -58,7 +58,7 @@
 
 
 class Finder:
-    """Asks the entry hosts for requests, and answers when they ask."""
+    """Looks up requests at the entry hosts, and answers their lookups."""
 
     def __init__(
         self,
@@ -76,7 +76,7 @@
         peers.handle(journal_pb2.FindRequest, self._handle_find)
 
     def local_state(self, request_id: str) -> journal_pb2.FoundRequest:
-        """Return what this host knows by itself."""
+        """Return what this host itself knows about a request."""
         run = self._owned.get(request_id)
         if run is not None and not run.is_lost:
             has_failed = run.outcome is not None and not run.outcome.is_answered
@@ -89,7 +89,7 @@
         return _State(state=_State.UNKNOWN, owner=new_owner)
 
     async def find(self, request_id: str) -> LookupResult:
-        """Ask until a host says that it owns the request, or all were asked."""
+        """Ask hosts until one owns the request or all have been asked."""
         answers = {self._host.name: self.local_state(request_id)}
         names = self._candidates(request_id)
         size = _FIRST_ROUND_HOSTS
@@ -116,7 +116,7 @@
             answers[name] = None
 
     def _candidates(self, request_id: str) -> list[str]:
-        """Return the other hosts, those first that may know the request."""
+        """Return the other hosts, those likely to know the request first."""
         first_owner = request_id.split(".")[0]
         hosts = rank_hosts(self._directory.entry_hosts(), first_owner)
         names = [host.name for host in hosts if host.name != self._host.name]
--- a/src/pepperstep/requests/guards.py
+++ b/src/pepperstep/requests/guards.py
@@ -1,4 +1,4 @@
-"""What the driver asks of whoever keeps crashing requests away from upstreams."""
+"""Interface of the guard that keeps crashing requests away from upstreams."""
 
 import enum
 from dataclasses import dataclass
@@ -14,7 +14,11 @@
 
 
 class Permission(enum.Enum):
-    """Whether a run may start on an upstream."""
+    """Whether a run may start on an upstream.
+
+    `WAIT`: another run of the content has to end first. `SHARE`: only upstreams that
+    already run the content are allowed.
+    """
 
     GRANTED = enum.auto()
     WAIT = enum.auto()
@@ -23,51 +27,52 @@
 
 @dataclass(frozen=True, slots=True)
 class Admission:
-    """Permission to run, and how."""
+    """A guard's decision on starting a run."""
 
     permission: Permission
-    # Names of the upstreams to share.
+    # With `SHARE`, names of the upstreams that are allowed.
     upstreams: frozenset[str] = frozenset()
-    # Whether it must be the only suspect on its upstream, and that to its end.
+    # Whether the run must be the only suspect on its upstream, and whether it must
+    # remain so until it ends.
     is_suspect: bool = False
     is_strict: bool = False
 
 
 class Guard(Protocol):
-    """What the driver asks before and tells after an attempt."""
+    """Admits the attempts of a request and learns how they ended."""
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED) -> None:
         """Work until cancelled."""
 
     def check(self, request: Request) -> None:
-        """Raise `Failure` with `CRASHING_REQUEST` for a convicted content."""
+        """Raise `Failure` with `CRASHING_REQUEST` for a blocked content."""
 
     async def admit(self, run: Run, upstream: Upstream) -> Admission:
         """Return whether the run may start; raise `Failure` as `check` does."""
 
     async def reserve_upstream(self, run: Run, upstream: Upstream) -> bool:
-        """Return whether the run is the only suspect on the upstream now."""
+        """Return whether the run is now the only suspect on the upstream."""
 
     def release_upstream(self, run: Run, upstream: Upstream) -> None:
-        """Let other suspects run on an upstream that was held."""
+        """Release the upstream, if reserved, so that other suspects may run on it."""
 
     def record_passed(self, run: Run) -> None:
-        """Note that a suspect ran on past its loss, and release its upstream."""
+        """Record that a suspect survived its earlier loss; release its upstream."""
 
     def record_end(self, run: Run, is_answered: bool) -> None:
-        """Note that the run is on no upstream now."""
+        """Record that the run is on no upstream any longer."""
 
     async def report_loss(
         self, run: Run, upstream: Upstream, diagnosis: Diagnosis, is_shared: bool
     ) -> bool:
         """Return whether a loss counts against the run's content.
 
-        Raise `Failure` with `CRASHING_REQUEST` if it convicts the content.
+        Raise `Failure` with `CRASHING_REQUEST` if the loss blocks the content.
         """
 
 
 class NoGuard:
-    """Guard that lets everything run anywhere (baseline)."""
+    """Guard that admits every run on any upstream (baseline)."""
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED) -> None:
         """Return at once."""
@@ -77,7 +82,7 @@
         """Do nothing."""
 
     async def admit(self, run: Run, upstream: Upstream) -> Admission:
-        """Grant the run."""
+        """Admit the run."""
         return Admission(Permission.GRANTED)
 
     async def reserve_upstream(self, run: Run, upstream: Upstream) -> bool:
--- a/src/pepperstep/requests/idempotency_keys.py
+++ b/src/pepperstep/requests/idempotency_keys.py
@@ -1,8 +1,8 @@
-"""Idempotency keys, reserved for the first request that comes with each.
+"""Reserves idempotency keys for the first request that uses them.
 
-The entry hosts that a key ranks first keep its reservation, so that a repeat
-finds the request wherever it comes in. Requests that aren't repeatable go by
-the agreed claims instead.
+The first entry hosts in a key's rendezvous order keep its reservation, so that a retry
+finds the request at whichever host it arrives. Non-repeatable requests use claims in
+the replicated log instead.
 """
 
 from dataclasses import dataclass
@@ -17,14 +17,14 @@
 __all__ = ["KeyReservations", "IdempotencyKeys"]
 
 _CALL_TIMEOUT_SECONDS = 0.3
-# Hosts that keep a key, and hosts tried if some of them don't answer.
+# Number of hosts that keep a key, and number of hosts tried if some don't answer.
 _RESERVATION_HOSTS = 2
 _MAX_TRIED_HOSTS = 4
 
 
 @dataclass(slots=True)
 class _Holder:
-    """The request that has a key, until a monotonic time."""
+    """The request that holds a key until `expires_at` (monotonic seconds)."""
 
     request_id: str
     fingerprint: str
@@ -32,7 +32,7 @@
 
 
 class KeyReservations:
-    """Reservations that this host keeps."""
+    """Key reservations that this host keeps."""
 
     def __init__(self, timers: Timers):
         self._timers = timers
@@ -41,7 +41,7 @@
     def reserve(
         self, reservation: journal_pb2.KeyReservation
     ) -> journal_pb2.KeyReservation:
-        """Return the key's holder, which is the wish's request if it was free."""
+        """Return the key's holder, which is the given request if the key was free."""
         now = self._timers.now()
         key = (reservation.workspace, reservation.key)
         holder = self._holders.get(key)
@@ -64,7 +64,7 @@
         )
 
     def prune(self) -> None:
-        """Forget reservations whose time is over."""
+        """Remove expired reservations."""
         now = self._timers.now()
         expired = [
             key for key, holder in self._holders.items() if holder.expires_at < now
@@ -74,7 +74,7 @@
 
 
 class IdempotencyKeys:
-    """Reserves keys at the hosts that keep them."""
+    """Reserves idempotency keys at the entry hosts that keep them."""
 
     def __init__(
         self,
@@ -90,7 +90,7 @@
         self._directory = directory
         self._keep_seconds = keep_seconds
         self.table = KeyReservations(timers)
-        # Keepers of each reserved key, as they were when it was reserved.
+        # Names of the entry hosts when keys were last refreshed.
         self._known_hosts: frozenset[str] = frozenset()
         peers.handle(journal_pb2.ReserveKeys, self._handle_reserve)
 
@@ -99,7 +99,7 @@
     ) -> journal_pb2.KeyReservation:
         """Reserve the request's key and return its holder.
 
-        `replaces` names a request that may lose the key.
+        `replaces` is the id of a request whose reservation may be taken over.
         """
         reservation = self._build_reservation(request, replaces)
         reserved = 0
@@ -115,7 +115,7 @@
         return reservation
 
     async def refresh(self, requests: list[Request]) -> None:
-        """Reserve the keys of live requests again where the hosts have changed."""
+        """Reserve the keys of live requests again if the entry hosts have changed."""
         names = frozenset(host.name for host in self._directory.entry_hosts())
         if names == self._known_hosts:
             return
@@ -138,7 +138,7 @@
     async def _reserve_all_at(
         self, name: str, reservations: list[journal_pb2.KeyReservation]
     ) -> list[journal_pb2.KeyReservation]:
-        """Return the holders, none if the host doesn't answer."""
+        """Return the keys' holders, or nothing if the host doesn't answer."""
         if name == self._host.name:
             return [self.table.reserve(reservation) for reservation in reservations]
         message = journal_pb2.ReserveKeys(reservations=reservations)
--- a/src/pepperstep/requests/journal.py
+++ b/src/pepperstep/requests/journal.py
@@ -1,4 +1,4 @@
-"""Journal of the requests that this host owns."""
+"""Replicates the requests that this host owns to backup hosts."""
 
 import itertools
 from collections.abc import Callable
@@ -23,26 +23,26 @@
 _DECISION_TIMEOUT_SECONDS = 2.0
 _FORGET_TIMEOUT_SECONDS = 1.0
 _CHECK_INTERVAL_SECONDS = 0.25
-# A second whose link has ended isn't chosen for this time if others are there.
+# A backup host whose link ended isn't chosen again for this time if there are others.
 _AVOIDANCE_SECONDS = 5.0
-# Few seconds make full batches, more than one spreads a takeover.
+# Few backup hosts make full batches; more than one spreads the load of a takeover.
 _MAX_BACKUP_HOSTS = 2
 
-# Takes a link that its second has taken over, and the runs given up with it.
+# Called with a link that its backup host has taken over, and the runs lost with it.
 OnTaken = Callable[[journal_pb2.Link, list[Run]], None]
 
 
 def rank_hosts(hosts: list[Host], key: str) -> list[Host]:
-    """Return the hosts in the order in which they serve `key`."""
+    """Return the hosts in rendezvous hashing order for `key`."""
     return sorted(
         hosts, key=lambda host: _rendezvous_weight(host.name, key), reverse=True
     )
 
 
 class Journal:
-    """Keeps each run of this host on a second host in another zone.
+    """Keeps each run of this host on a backup host, in another zone if possible.
 
-    With `is_single` there is no second host and a run is released at once.
+    With `is_single` there is no backup host and changes are released at once.
     """
 
     def __init__(
@@ -70,14 +70,14 @@
         self._link_of: dict[str, JournalLink] = {}
         self._generations = itertools.count(1)
         self._avoided_until: dict[str, float] = {}
-        # Hosts that new runs are recorded at, empty if not chosen yet.
+        # Backup hosts for new runs, empty until chosen.
         self._backup_hosts: list[Host] = []
         self._nursery: trio.Nursery | None = None
 
     async def run(
         self, nursery: trio.Nursery, task_status=trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Send batches until cancelled; the journal's tasks run in `nursery`."""
+        """Replicate runs until cancelled; the journal's tasks run in `nursery`."""
         self._nursery = nursery
         task_status.started()
         async for _ in self._timers.subscribe(_CHECK_INTERVAL_SECONDS):
@@ -85,7 +85,7 @@
             self._end_links_to_leaving_hosts()
 
     def add(self, run: Run) -> None:
-        """Start to keep the run on a second host.
+        """Start replicating the run to a backup host.
 
         Raise `Failure` with `NOT_READY` if there is none.
         """
@@ -97,16 +97,16 @@
         link.add(run)
 
     def back_up_elsewhere(self, prior: journal_pb2.Link, runs: list[Run]) -> None:
-        """Record runs at other seconds, then have the link `prior` dropped.
+        """Record runs at other backup hosts, then have the link `prior` dropped.
 
-        Up to the drop the second of `prior` may take them over, so that a copy
-        counts at each moment.
+        Until the drop, the backup host of `prior` may take over the runs, so a valid
+        copy exists at all times.
         """
         self._add_prior_link(prior, runs)
         self._nursery.start_soon(self._move_runs, prior, runs)
 
     def mark_changed(self, run: Run, is_urgent: bool = False) -> None:
-        """Send what has changed of the run, then release it to readers."""
+        """Replicate the run's changes, then release them to readers."""
         run.version += 1
         if self._is_single:
             self._release(run)
@@ -122,19 +122,20 @@
         return bool(is_open or run.prior_links)
 
     async def confirm(self, run: Run) -> bool:
-        """Return True once the second has the run's present state.
+        """Return True once the backup host has the run's current state.
 
-        Return False if another host has become the owner, or the run was removed.
+        Return False if another host has become the owner or the run was removed.
         """
         self.mark_changed(run, is_urgent=True)
         await run.wait_confirmed()
         return run.is_confirmed and not run.is_lost
 
     async def record_dispatch(self, run: Run) -> None:
-        """Note that a byte of the request may reach an upstream from now on.
+        """Record that the request may reach an upstream from this point.
 
-        For a request that isn't repeatable return once the second knows it, so
-        that no later owner sends the request again.
+        For a non-repeatable request, return only once the backup host has recorded the
+        dispatch, so that no later owner sends the request again. Raise `Failure` with
+        `NOT_READY` if another host owns the request.
         """
         was_dispatched = run.is_dispatched
         run.is_dispatched = True
@@ -151,11 +152,11 @@
             raise Failure(Code.NOT_READY, "Another host owns the request.")
 
     def remove(self, run: Run) -> None:
-        """Stop to keep a run, which has ended some time ago."""
+        """Stop replicating a run that ended some time ago."""
         self._remove(run, JournalLink.remove)
 
     async def hand_over(self) -> None:
-        """Ask all seconds to take over what this host owns."""
+        """Ask all backup hosts to take over this host's requests."""
         async with trio.open_nursery() as nursery:
             for link in list(self._links.values()):
                 if not link.is_ended:
@@ -164,7 +165,7 @@
     def _remove(self, run: Run, remove: Callable[[JournalLink, Run], bool]) -> None:
         run.stop_backup()
         link = self._link_of.get(run.id)
-        # The request may have come back to this host as another run.
+        # The link may already replicate a newer run of the same request.
         if link is not None and remove(link, run):
             del self._link_of[run.id]
 
@@ -191,7 +192,7 @@
         return rank_hosts(preferred, self._host.name)[:_MAX_BACKUP_HOSTS]
 
     def _backup_preference(self, host: Host) -> tuple[bool, bool, bool]:
-        """Order hosts: first those that work, then near ones in other zones."""
+        """Sort key: hosts not avoided, then same region, then another zone."""
         is_avoided = self._avoided_until.get(host.name, 0.0) > self._timers.now()
         is_other_region = host.region != self._host.region
         return (is_avoided, is_other_region, host.zone == self._host.zone)
@@ -212,7 +213,7 @@
         return link
 
     def _end_links_to_leaving_hosts(self) -> None:
-        """End links to hosts that leave, if there are others."""
+        """End links to hosts that are leaving, if there are others."""
         present = {host.name for host in self._directory.entry_hosts()}
         if not present - {self._host.name}:
             return
@@ -221,7 +222,7 @@
                 link.end(is_taken=False)
 
     def _handle_link_end(self, link: JournalLink, is_taken: bool) -> None:
-        """Give the runs of an ended link up, or give them another second."""
+        """Yield the runs of an ended link, or replicate them to another host."""
         self._avoided_until[link.backup] = self._timers.now() + _AVOIDANCE_SECONDS
         self._backup_hosts = []
         runs = link.runs
@@ -229,7 +230,7 @@
             if self._link_of.get(run.id) is link:
                 del self._link_of[run.id]
         if not link.message.second_incarnation:
-            # Nothing was sent yet.
+            # The link never opened, so nothing was sent.
             self._nursery.start_soon(self._add_all_with_retry, runs)
         elif is_taken:
             self._add_prior_link(link.message, runs)
@@ -255,7 +256,7 @@
             await self._notify_dropped(prior)
 
     async def _yield_taken_link(self, prior: journal_pb2.Link, runs: list[Run]) -> None:
-        """Give up what the second has taken over with the link `prior`."""
+        """Yield the runs that the backup host has taken over with `prior`."""
         remaining_runs = await self._yield_taken_runs(prior, runs)
         await self._add_all_with_retry(remaining_runs)
         for run in remaining_runs:
@@ -264,7 +265,7 @@
     async def _yield_taken_runs(
         self, link: journal_pb2.Link, runs: list[Run]
     ) -> list[Run]:
-        """Give up what the second has taken over, and return the other runs."""
+        """Yield the runs that the backup host has taken over; return the others."""
         while True:
             try:
                 taken_ids = await self._takeovers.ask(link, (run.id for run in runs))
@@ -284,24 +285,26 @@
             try:
                 self.add(run)
             except Failure:
-                logging.warning("requests: No second host for %s.", run.id)
+                logging.warning("requests: No backup host available for %s.", run.id)
                 await self._timers.sleep(_RETRY_DELAY_SECONDS)
             else:
                 return
 
     async def _drop(self, link: journal_pb2.Link) -> bool:
-        """Return whether the log has dropped the link, once that is known."""
+        """Return whether the log dropped the link, once that is known."""
         while True:
             try:
                 is_granted = await self._decisions.drop(link, _DECISION_TIMEOUT_SECONDS)
             except Failure as failure:
                 if failure.code is not Code.NO_QUORUM:
                     raise
-                logging.warning("requests: A drop waits for a quorum.")
+                logging.warning("requests: No quorum to drop a link; retrying.")
                 await self._timers.sleep(_RETRY_DELAY_SECONDS)
             else:
                 logging.info(
-                    "requests: Link to %s: dropped %s.", link.second, is_granted
+                    "requests: Drop of the link to %s granted: %s.",
+                    link.second,
+                    is_granted,
                 )
                 return is_granted
 
@@ -311,10 +314,12 @@
                 link.second, journal_pb2.ForgetLink(link=link), _FORGET_TIMEOUT_SECONDS
             )
         except Failure:
-            logging.debug("requests: %s doesn't know of a drop.", link.second)
+            logging.debug(
+                "requests: %s didn't receive the drop of its link.", link.second
+            )
 
     def _yield_runs(self, link: journal_pb2.Link, runs: list[Run]) -> None:
-        """Leave the runs of a link to its second, which has taken it over."""
+        """Mark runs as lost to the backup host that has taken over their link."""
         runs = [run for run in runs if not run.is_lost]
         for run in runs:
             self._remove(run, JournalLink.forget)
--- a/src/pepperstep/requests/link.py
+++ b/src/pepperstep/requests/link.py
@@ -1,4 +1,4 @@
-"""Sends the state of an owner's requests to one second host, in batches."""
+"""Replicates an owner's requests to one backup host, in batches."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -16,19 +16,19 @@
 _CALL_TIMEOUT_SECONDS = 0.25
 _HANDOVER_TIMEOUT_SECONDS = 4.0
 _RETRY_DELAY_SECONDS = 0.02
-# A link without an answer ends after this time, so that its streams go on with
-# another second.
+# A link without an acknowledgement for this time ends, so that its streams continue
+# with another backup host.
 _MAX_SILENCE_SECONDS = 0.6
-# Tokens wait this long for others of the batch; records, first tokens and
-# outcomes don't wait.
+# Tokens wait this long so that more of them share a batch. Records, first tokens and
+# outcomes are sent without delay.
 _BATCH_DELAY_SECONDS = 0.015
-# What doesn't fit is sent with the next batch.
+# Changes beyond this size are sent with the next batch.
 _MAX_BATCH_BYTES = 512 * 1024
 
 
 @dataclass(slots=True)
 class _Progress:
-    """How much of a run the second has, as far as it has said so."""
+    """How much of a run the backup host has acknowledged."""
 
     run: Run
     is_recorded: bool = False
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True)
 class _BatchEntry:
-    """What a batch on its way holds of one run."""
+    """What a batch in flight contains of one run."""
 
     progress: _Progress
     position: int
@@ -46,9 +46,9 @@
 
 
 class JournalLink:
-    """One link of this owner; `run` opens it and sends until it ends.
+    """A link from this owner to one backup host; `run` opens it and sends batches.
 
-    `on_end` gets the link and whether the second has taken it over.
+    `on_end` is called with the link and whether the backup host has taken it over.
     """
 
     def __init__(
@@ -64,9 +64,9 @@
         self._timers = timers
         self._on_end = on_end
         self._progress: dict[str, _Progress] = {}
-        # Ids of runs that have changed, in the order of their changes.
+        # Ids of changed runs, in the order of their changes.
         self._changed: dict[str, None] = {}
-        # Ids of runs that the second is to forget.
+        # Ids of runs that the backup host has to remove.
         self._to_forget: list[str] = []
         self._is_urgent = False
         self._wake = trio.Event()
@@ -75,21 +75,21 @@
 
     @property
     def backup(self) -> str:
-        """Name of the second host."""
+        """Name of the backup host."""
         return self.message.second
 
     @property
     def runs(self) -> list[Run]:
-        """All runs that the link keeps."""
+        """All runs replicated over the link."""
         return [progress.run for progress in self._progress.values()]
 
     def add(self, run: Run) -> None:
-        """Send the run's whole record, and its changes from now on."""
+        """Replicate the run: its full record first, then its changes."""
         self._progress[run.id] = _Progress(run)
         self.mark_changed(run, is_urgent=True)
 
     def mark_changed(self, run: Run, is_urgent: bool = False) -> None:
-        """Send what has changed of the run with the next batch."""
+        """Send the run's changes with the next batch."""
         needs_wake = not self._changed or (is_urgent and not self._is_urgent)
         self._changed[run.id] = None
         self._is_urgent = self._is_urgent or is_urgent
@@ -97,7 +97,7 @@
             self._wake.set()
 
     def remove(self, run: Run) -> bool:
-        """Send nothing more of the run, return whether the link kept it."""
+        """Stop replicating the run and return whether the link had it."""
         progress = self._progress.get(run.id)
         if progress is None or progress.run is not run:
             return False
@@ -106,7 +106,7 @@
         return True
 
     def forget(self, run: Run) -> bool:
-        """Remove the run here and at the second, return whether the link kept it."""
+        """Remove the run here and at the backup; return whether the link had it."""
         if not self.remove(run):
             return False
         self._to_forget.append(run.id)
@@ -122,20 +122,20 @@
             await self._send_batch()
 
     async def hand_over(self) -> None:
-        """Ask the second to take the requests over."""
+        """Ask the backup host to take over the link's requests."""
         request = journal_pb2.HandOver(link=self.message)
         try:
             answer = await self._peers.call(
                 self.backup, request, _HANDOVER_TIMEOUT_SECONDS
             )
         except Failure as failure:
-            logging.warning("requests: No handover to %s: %s", self.backup, failure)
+            logging.warning("requests: Handover to %s failed: %s", self.backup, failure)
             return
         if answer.is_taken:
             self.end(is_taken=True)
 
     def end(self, is_taken: bool) -> None:
-        """Send nothing more."""
+        """Stop sending and report the end to `on_end`."""
         if self.is_ended:
             return
         self.is_ended = True
@@ -175,7 +175,8 @@
             await self._handle_no_answer()
             return
         self._failing_since = None
-        # What a second acknowledges to an ended link doesn't count.
+        # An acknowledgement that arrives after the link ended must not release
+        # anything.
         if not self.is_ended:
             del self._to_forget[: len(batch.forgotten)]
             self._apply_ack(ack, entries)
@@ -225,7 +226,10 @@
 
 
 def _append_changes(batch: journal_pb2.JournalBatch, progress: _Progress) -> int:
-    """Add what the second lacks of a run; return its rough size in bytes."""
+    """Add a run's unacknowledged state to the batch; return its size in bytes.
+
+    The size of a checkpoint is an estimate.
+    """
     run = progress.run
     if progress.is_recorded:
         batch.checkpoints.append(run.to_checkpoint(progress.position))
--- a/src/pepperstep/requests/links.py
+++ b/src/pepperstep/requests/links.py
@@ -1,7 +1,7 @@
-"""Agreed decisions on links: takeover by the second, or drop by the owner.
+"""Decides links through the replicated log: taken over by the backup, or dropped.
 
-For each life of a link exactly one of both is granted, so a request never has
-two owners whose output counts.
+For each link exactly one of the two is granted, so a request never has two owners whose
+output reaches readers.
 """
 
 from collections import OrderedDict
@@ -24,26 +24,26 @@
 
 LINK_MACHINE = "links"
 
-# Decisions kept; a link is used for minutes, and at most some hundreds of
+# Number of decisions kept. A link is used for minutes, and at most some hundreds of
 # hosts fail or restart within an hour.
 _MAX_DECISIONS = 20_000
 
-# Generations of back links start here; those of other links count from one.
+# Generations of reverse links start here; those of other links count from one.
 _REVERSE_GENERATION = 1 << 63
 
 LinkKey = tuple[str, int, str, int]
 
 
 def link_key(link: journal_pb2.Link) -> LinkKey:
-    """Return what identifies a link."""
+    """Return the fields that identify a link."""
     return (link.owner, link.incarnation, link.second, link.generation)
 
 
 def reverse_link(taken: journal_pb2.Link) -> journal_pb2.Link:
-    """Return the link from the new owner of a taken link to the earlier one.
+    """Return the link from a taken link's new owner to its previous owner.
 
-    The earlier owner may be alive and then has the last copy of the requests,
-    until the new owner has found a second and dropped this link.
+    The previous owner may be alive and then has the only other copy of the requests,
+    until the new owner has another backup host and drops this link.
     """
     text = f"{taken.incarnation}/{taken.generation}".encode()
     return journal_pb2.Link(
@@ -56,14 +56,14 @@
 
 
 class LinkMachine:
-    """Agreed machine that grants the first command for each link."""
+    """State machine that grants the first command for each link."""
 
     def __init__(self) -> None:
-        # Whether the link was taken over, by link, oldest first.
+        # Whether each decided link was taken over, oldest decision first.
         self._taken: OrderedDict[LinkKey, bool] = OrderedDict()
 
     def apply(self, index: int, command: bytes) -> bytes:
-        """Grant the command unless the other way was granted before."""
+        """Grant the command unless the opposite one was granted before."""
         try:
             message = journal_pb2.LinkCommand.FromString(command)
         except DecodeError:
@@ -84,7 +84,7 @@
         return journal_pb2.LinkSnapshot(decided=states).SerializeToString()
 
     def restore(self, data: bytes) -> None:
-        """Take the decisions of a snapshot; raise `Failure` if it can't be read."""
+        """Load the decisions of a snapshot; raise `Failure` if it can't be read."""
         try:
             states = journal_pb2.LinkSnapshot.FromString(data).decided
         except DecodeError as error:
@@ -96,20 +96,23 @@
 
 
 class LinkDecisions:
-    """Asks the agreed log for decisions on links."""
+    """Proposes decisions on links to the replicated log."""
 
     def __init__(self, agreement: Agreement):
         self._agreement = agreement
 
     async def take_over(self, link: journal_pb2.Link, timeout: float) -> bool:
-        """Return whether the second may take the link's requests over.
+        """Return whether the backup host may take over the link's requests.
 
-        Raise `Failure` with `NO_QUORUM` if that isn't known; ask again then.
+        Raise `Failure` with `NO_QUORUM` if the decision isn't known; retry then.
         """
         return await self._decide(link, True, timeout)
 
     async def drop(self, link: journal_pb2.Link, timeout: float) -> bool:
-        """Return whether the owner may go on without this second."""
+        """Return whether the owner may continue without this backup host.
+
+        Raise `Failure` with `NO_QUORUM` if the decision isn't known; retry then.
+        """
         return await self._decide(link, False, timeout)
 
     async def _decide(
--- a/src/pepperstep/requests/move_planning.py
+++ b/src/pepperstep/requests/move_planning.py
@@ -1,7 +1,7 @@
-"""Decides how each request leaves an upstream that will be taken back.
+"""Plans how each request leaves an upstream that will be reclaimed.
 
-The policies are plain functions on data classes, so that they can be compared
-and explained: `plan_moves` and its two baselines.
+The policies are pure functions on data classes: `plan_moves` and two baselines to
+compare it with.
 """
 
 import enum
@@ -24,8 +24,8 @@
     "plan_moves",
 ]
 
-# Longest pause in an answer while its KV cache is sent, unless computing it
-# again takes still longer.
+# Longest pause in an answer while its KV cache is exported, unless recomputing the
+# cache takes even longer.
 _MAX_STALL_SECONDS_BY_PRIORITY = {
     Priority.INTERACTIVE: 2.0,
     Priority.STANDARD: 10.0,
@@ -34,7 +34,11 @@
 
 
 class MoveKind(enum.StrEnum):
-    """What becomes of a request on a leaving upstream."""
+    """How a request on a leaving upstream continues.
+
+    `FINISH`: it stays until the upstream ends. `EXPORT`: its KV cache is sent to
+    another upstream. `RECOMPUTE`: another upstream computes it again.
+    """
 
     FINISH = "finish"
     EXPORT = "export"
@@ -42,7 +46,7 @@
 
 
 class MoveReason(enum.StrEnum):
-    """Why it was decided so."""
+    """Why a move was chosen."""
 
     ENDS_IN_TIME = "ends_in_time"
     CACHE_ARRIVES_IN_TIME = "cache_arrives_in_time"
@@ -61,7 +65,7 @@
     name: str
     zone: str
     seconds: float
-    # What this host may use of its export bandwidth.
+    # This host's share of the upstream's export bandwidth.
     bytes_per_second: float
     bytes_per_token: float
 
@@ -85,12 +89,12 @@
     upstream: str
     model_key: ModelKey
     priority: Priority
-    # Tokens of prompt and answer in its KV cache, and those still to come.
+    # Tokens of prompt and answer in its KV cache, and tokens still to be generated.
     tokens: int
     remaining_tokens: int
     decode_seconds: float
     prefill_seconds: float
-    # False for calls that run as a whole.
+    # False for service calls, which can't continue elsewhere.
     is_movable: bool = True
     # Tokens in the prefix cache of each target, as far as known.
     cached_tokens: Mapping[str, int] = field(default_factory=dict)
@@ -104,11 +108,11 @@
     upstream: str
     kind: MoveKind
     reason: MoveReason
-    # Upstream that it goes on at, "" to stay.
+    # Upstream on which the request continues, "" to stay.
     target: str = ""
-    # Tokens that will be computed again, as predicted.
+    # Predicted number of tokens to compute again.
     recomputed: int = 0
-    # Seconds from now at which an export starts and has arrived.
+    # Seconds from now until an export starts and until it has arrived.
     starts_at: float = 0.0
     arrives_at: float = 0.0
 
@@ -124,12 +128,12 @@
     requests: Sequence[MovingRequest],
     targets: Sequence[MoveTarget],
 ) -> list[Move]:
-    """Return one decision for each request, for all leavers together.
+    """Return one decision for each request, for all leaving upstreams together.
 
-    What ends in time stays. Of the rest, KV caches are exported in the order
-    of the recomputation that they save a byte, as long as they arrive in time;
-    what remains moves at once and is computed again. Where moving all at once
-    is predicted to compute less again, that is the plan.
+    A request that ends in time stays. The KV caches of the others are exported in the
+    order of the recomputation saved per byte, as long as they arrive in time. The rest
+    moves at once and is recomputed. If moving all requests at once is predicted to
+    recompute less, that plan is returned instead.
     """
     plans = (
         _plan_by_cost(leaving_upstreams, requests, targets),
@@ -143,7 +147,7 @@
     requests: Sequence[MovingRequest],
     targets: Sequence[MoveTarget],
 ) -> list[Move]:
-    """Move every request at once and compute it again (baseline)."""
+    """Move every request at once and recompute it (baseline)."""
     capacity = _TargetCapacity(leaving_upstreams, targets)
     moves = []
     for request in requests:
@@ -184,7 +188,7 @@
 ) -> list[Move]:
     by_name = {leaving.name: leaving for leaving in leaving_upstreams}
     capacity = _TargetCapacity(leaving_upstreams, targets)
-    # Seconds for which each leaver's export is busy.
+    # Seconds from now until which each leaving upstream is busy exporting.
     export_busy_until = dict.fromkeys(by_name, 0.0)
     moves = []
     for request in sorted(requests, key=_export_order):
@@ -199,7 +203,7 @@
 
 
 class _TargetCapacity:
-    """Room of the targets, less what earlier decisions take of it."""
+    """Free slots of the targets, less those that earlier decisions use."""
 
     def __init__(
         self,
@@ -214,16 +218,17 @@
         self._free_slots = {target.name: target.free_slots for target in self._targets}
 
     def find_target(self, request: MovingRequest) -> MoveTarget | None:
-        """Return the best target, None if none has the request's model.
+        """Return the best target, or None if none has the request's model.
 
-        Reclaims come by zone, so a zone without one goes first where it has
-        room; then the target with the most room, which spreads the requests.
+        Targets with free slots come first. Among them, zones without a leaving upstream
+        are preferred, because reclaims come by zone, and then the target with the most
+        free slots, which spreads the requests.
         """
         candidates = [t for t in self._targets if request.model_key in t.models]
         return max(candidates, key=self._preference, default=None)
 
     def reserve_slot(self, request: MovingRequest) -> MoveTarget | None:
-        """Find a target and use one place of it."""
+        """Find a target and use one of its slots."""
         target = self.find_target(request)
         if target is not None:
             self._free_slots[target.name] -= 1
@@ -236,7 +241,7 @@
 
 
 def _export_order(request: MovingRequest) -> tuple[float, int, str]:
-    """Order by tokens saved a byte, then the largest, then by id."""
+    """Sort key: most tokens saved per byte first, then largest, then by id."""
     cached = max(request.cached_tokens.values(), default=0)
     saved_share = 1 - min(cached, request.tokens) / max(1, request.tokens)
     return (-saved_share, -request.tokens, request.id)
@@ -268,7 +273,7 @@
             recomputed=request.tokens,
         )
     starts_at = export_busy_until[leaving.name]
-    # It goes on here until its turn comes, and its cache grows meanwhile.
+    # The request keeps running until its export starts, so its cache grows.
     tokens = request.tokens + int(starts_at / max(request.decode_seconds, 1e-9))
     seconds = tokens * leaving.bytes_per_token / max(leaving.bytes_per_second, 1e-9)
     recomputed = _recomputed_at(request, target)
@@ -301,7 +306,7 @@
     stall_seconds: float,
     recomputed: int,
 ) -> MoveReason:
-    """Return whether an export pays, and if not why."""
+    """Return whether to export the KV cache, and if not why."""
     if recomputed <= 0:
         return MoveReason.NOTHING_TO_EXPORT
     if arrives_at > leaving.seconds:
@@ -320,7 +325,7 @@
 
 
 def _tokens_lost_at_end(request: MovingRequest, seconds: Mapping[str, float]) -> int:
-    """Return the tokens to compute again if it runs until its upstream ends."""
+    """Return the tokens to recompute if the request stays until its upstream ends."""
     seconds_left = seconds[request.upstream]
     if request.remaining_tokens * request.decode_seconds <= seconds_left:
         return 0
--- a/src/pepperstep/requests/mover.py
+++ b/src/pepperstep/requests/mover.py
@@ -1,4 +1,4 @@
-"""Moves requests off upstreams whose reclaim was announced."""
+"""Moves requests off upstreams that are about to be reclaimed."""
 
 import random
 from collections import OrderedDict
@@ -29,27 +29,28 @@
 __all__ = ["MoveSettings", "Moves", "TerminationNotice"]
 
 _CHARACTERS_PER_TOKEN = 4
-# Notices of a zone come one after another; those within this time are planned
-# together.
+# Reclaim notices for the upstreams of a zone arrive one after another. Those within
+# this time are planned together.
 _NOTICE_BATCH_SECONDS = 0.05
 _REPLAN_INTERVAL_SECONDS = 1.0
-# A notice is kept for this time after its end, against late repeats.
+# A notice is kept for this time after the announced end, so that a delayed duplicate
+# isn't taken for a new one.
 _NOTICE_RETENTION_SECONDS = 600.0
-# Weight of a new measurement of bandwidth and cache size.
+# Weight of a new sample in the averages of bandwidth and cache size.
 _NEW_SAMPLE_WEIGHT = 0.3
 _MAX_DECISIONS = 10_000
 
 
 @dataclass(frozen=True, slots=True)
 class MoveSettings:
-    """How moves are decided; `policy` is a name in `POLICIES`."""
+    """How moves are planned; `policy` is a key of `POLICIES`."""
 
     policy: str = "planned"
-    # Seconds before the announced end by which all must be done.
+    # Exports must end this many seconds before the announced end.
     margin_seconds: float = 0.5
-    # Notice that is assumed of an upstream that only says that it leaves.
+    # Notice period assumed for an upstream that announces its leaving without a time.
     default_notice_seconds: float = 20.0
-    # Expected until the first export has ended.
+    # Estimates used until the first export has ended.
     bytes_per_second: float = 1e9
     bytes_per_token: float = 131_072.0
 
@@ -62,11 +63,11 @@
     at: float
     host: str = ""
     upstream: str = ""
-    # Last life of the upstream that is meant, 0 for all.
+    # Last epoch of the upstream that the notice covers, 0 for all.
     epoch: int = 0
 
     def covers(self, upstream: Upstream) -> bool:
-        """Whether the upstream ends."""
+        """Whether the notice applies to the upstream."""
         if self.host:
             return upstream.host == self.host
         is_later = 0 < self.epoch < upstream.epoch
@@ -74,7 +75,7 @@
 
 
 class Moves:
-    """This host's part in reclaims: notices, decisions and exports."""
+    """Termination notices, move decisions and cache exports of this host."""
 
     def __init__(
         self,
@@ -100,10 +101,11 @@
         self._notices = Broadcast(
             host, peers, timers, directory, rng, _build_notices, self._add_received
         )
-        # Measured bytes a second by upstream, and bytes a token of KV cache.
+        # Measured export rate by upstream (bytes per second), and KV cache size (bytes
+        # per token).
         self._rates: dict[str, float] = {}
         self._bytes_per_token = settings.bytes_per_token
-        # Exports that wait, by upstream and in their order.
+        # Pending exports by upstream, in order.
         self._exports: dict[str, list[Move]] = {}
         self._exporting: set[str] = set()
         self._decisions: OrderedDict[str, Move] = OrderedDict()
@@ -127,12 +129,12 @@
                     self._wake.set()
 
     def add_notices(self, notices: Iterable[TerminationNotice]) -> None:
-        """Take notices that this host got, and tell all entry hosts."""
+        """Add notices that this host received and broadcast them to all entry hosts."""
         for notice in notices:
             self._add_notice(notice, is_own=True)
 
     def add_leaving_upstream(self, upstream: Upstream) -> None:
-        """Take an upstream's own announcement that it leaves."""
+        """Add a notice for an upstream that announced its own leaving."""
         if self._first_notice(upstream) is None:
             at = self._timers.wall() + self._settings.default_notice_seconds
             notice_id = f"{upstream.name}/{upstream.epoch}"
@@ -140,15 +142,15 @@
             self.add_notices([notice])
 
     def is_leaving(self, upstream: Upstream) -> bool:
-        """Whether the upstream will end, or ended, by a reclaim."""
+        """Whether the upstream ended, or will end, by a reclaim."""
         return upstream.is_leaving or self._first_notice(upstream) is not None
 
     def candidates(self) -> list[Upstream]:
-        """Return the upstreams that stay, so that this is a router's view."""
+        """Return the upstreams that stay; with this, `Moves` is a router's view."""
         return [u for u in self._view.candidates() if not self.is_leaving(u)]
 
     def last_move(self, request_id: str) -> Move | None:
-        """Return the last decision on a request."""
+        """Return the last move decision on a request, or None."""
         return self._decisions.get(request_id)
 
     def _add_notice(self, notice: TerminationNotice, is_own: bool) -> None:
@@ -156,14 +158,17 @@
         if self._notices.add(notice.id, notice, until, is_own):
             name = notice.host or notice.upstream
             seconds = notice.at - self._timers.wall()
-            logging.info("moves: %s ends in %.1f s.", name, seconds)
+            logging.info("moves: %s terminates in %.1f s.", name, seconds)
             if self._on_leaving is not None:
                 covered = [u for u in self._view.candidates() if notice.covers(u)]
                 self._on_leaving(covered)
             self._wake.set()
 
     def _first_notice(self, upstream: Upstream) -> TerminationNotice | None:
-        """Return the notice that ends first; a later one doesn't take it back."""
+        """Return the earliest notice for the upstream.
+
+        A later notice doesn't revoke an earlier one.
+        """
         notices = [n for n in self._notices.items() if n.covers(upstream)]
         return min(notices, key=lambda notice: notice.at, default=None)
 
@@ -184,7 +189,7 @@
         return any(self.is_leaving(each.upstream) for each in self.attempts.active())
 
     def _plan(self) -> None:
-        """Decide on all requests that no earlier plan has begun to move."""
+        """Plan moves for all requests that aren't already being moved."""
         open_attempts = {
             each.run.id: each
             for each in self.attempts.active()
@@ -221,7 +226,7 @@
                 self._nursery.start_soon(self._export_all, move.upstream)
 
     async def _export_all(self, upstream: str) -> None:
-        """Export one cache after another, as they share the bandwidth."""
+        """Export one cache after another, as exports share the upstream's bandwidth."""
         try:
             while self._exports.get(upstream):
                 move = self._exports[upstream].pop(0)
@@ -268,7 +273,7 @@
 
     def _describe_leaving(self, upstream: Upstream) -> LeavingUpstream:
         own_attempts = self.attempts.count_on(upstream.name)
-        # Other entry hosts export from it too.
+        # Other entry hosts export from the same upstream, so only a share is available.
         own_share = own_attempts / max(own_attempts, upstream.load.running, 1)
         rate = self._rates.get(upstream.name)
         if rate is None:
@@ -308,7 +313,7 @@
 
 
 def estimate_prompt_tokens(request: Request) -> int:
-    """Return about how many tokens the prompt has."""
+    """Estimate the number of prompt tokens from the number of characters."""
     return len(request.prompt) // _CHARACTERS_PER_TOKEN
 
 
--- a/src/pepperstep/requests/placing.py
+++ b/src/pepperstep/requests/placing.py
@@ -1,4 +1,4 @@
-"""Finds the place of a request's next attempt."""
+"""Chooses the upstream for a request's next attempt."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -15,20 +15,21 @@
 __all__ = ["AttemptPlan", "Placer", "execution_of"]
 
 _POLL_INTERVAL_SECONDS = 0.1
-# A target that got a KV cache is waited for this long.
+# How long to wait for a slot on an upstream that imported the KV cache.
 _TARGET_TIMEOUT_SECONDS = 10.0
-# A suspect that waited this long for an upstream without other suspects, or for
-# a host that decides, runs beside others, so that no bystander starves.
+# A suspect that has waited this long for an upstream without other suspects, or for a
+# deciding host, runs beside others. Otherwise a request that merely shared an upstream
+# with the crashing one would starve.
 _MAX_ISOLATION_WAIT_SECONDS = 15.0
-# A suspect passes when it has generated as much as the attempt that was lost,
-# and these tokens more.
+# A suspect passes once it has generated as many tokens as the lost attempt, plus this
+# margin.
 _PASSING_TOKENS = 64
-# Suspects start in the order of what their lost attempts had generated, as a
-# request that crashes upstreams mostly does so at once.
+# Suspects start in the order of the tokens that their lost attempts had generated,
+# because a request that crashes upstreams mostly does so at once.
 _START_DELAY_SECONDS_PER_TOKEN = 0.002
 _MAX_START_DELAY_SECONDS = 0.5
 _MAX_CANDIDATES = 6
-# Causes that the router can't tell by itself.
+# Causes that the router can't determine itself.
 _RETRY_CAUSES = {
     Cause.RECLAIM: RetryCause.RECLAIMED,
     Cause.CRASH: RetryCause.DIED,
@@ -39,20 +40,23 @@
 
 @dataclass(slots=True)
 class AttemptPlan:
-    """What a run's next attempt depends on."""
+    """Constraints on a run's next attempt."""
 
-    # Why there is one more attempt, None for the first.
+    # Why another attempt is needed, None for the first.
     cause: Cause | None = None
     excluded: set[str] = field(default_factory=set)
-    # Upstream that got the KV cache of `imported_attempt`, or was planned.
+    # Upstream that imported the KV cache of `imported_attempt`, or that was chosen by
+    # the move plan.
     target: str = ""
     imported_attempt: str = ""
-    # Upstreams that run the content already and are to be shared.
+    # Upstreams that already run the same content; the next attempt must use one of
+    # them.
     shared_upstreams: frozenset[str] = frozenset()
     is_suspect: bool = False
-    # Whether another run of the content has to end first.
+    # Whether another run of the same content has to end first.
     is_waiting: bool = False
-    # Whether it is the only suspect on its upstream, and has to be to its end.
+    # Whether the run is the only suspect on its upstream, and whether it must remain so
+    # until it ends.
     is_isolated: bool = False
     is_strict: bool = False
     lost_zones: set[str] = field(default_factory=set)
@@ -60,22 +64,22 @@
 
     @property
     def is_restricted(self) -> bool:
-        """Whether the guard limits where and when the run goes on."""
+        """Whether the guard limits where and when the request may run."""
         return self.is_waiting or self.is_suspect or bool(self.shared_upstreams)
 
     @property
     def passing_tokens(self) -> int:
-        """Tokens that a suspect generates before others may join it."""
+        """Tokens that a suspect generates before other suspects may join it."""
         return self.lost_tokens + _PASSING_TOKENS
 
     def resume(self, resumption: Resumption) -> None:
-        """Go on after an attempt was stopped."""
+        """Apply the resumption of an attempt that was stopped."""
         self.cause = resumption.cause
         self.target = resumption.target
         self.imported_attempt = resumption.imported_attempt
 
     def apply(self, admission: Admission) -> None:
-        """Take over what the guard said."""
+        """Apply the guard's admission decision."""
         self.shared_upstreams = admission.upstreams
         self.is_waiting = admission.permission is Permission.WAIT
         if admission.permission is Permission.GRANTED:
@@ -83,14 +87,14 @@
             self.is_strict = admission.is_strict
 
     def record_loss(self, upstream: Upstream, tokens: int) -> None:
-        """Go on as a suspect after an upstream was lost with `tokens` generated."""
+        """Mark the run as a suspect after a loss with `tokens` generated."""
         self.is_suspect = True
         self.lost_zones.add(upstream.zone)
         self.lost_tokens = max(self.lost_tokens, tokens)
 
 
 class Placer:
-    """Takes places that the router gives and the guard permits."""
+    """Acquires placements that the router offers and the guard permits."""
 
     def __init__(self, router: Router, recovery: Recovery, timers: Timers):
         self._router = router
@@ -99,10 +103,10 @@
         self._timers = timers
 
     async def place(self, run: Run, plan: AttemptPlan) -> Placement:
-        """Return a place at which the run may start now.
+        """Return a placement at which the run may start immediately.
 
-        Raise `Failure` with `CRASHING_REQUEST` if its content was convicted, and
-        what the router raises.
+        Raise `Failure` with `CRASHING_REQUEST` if its content is blocked, and whatever
+        the router raises.
         """
         if plan.is_suspect:
             seconds = _START_DELAY_SECONDS_PER_TOKEN * plan.lost_tokens
@@ -123,7 +127,7 @@
     async def _place_unrestricted(
         self, run: Run, plan: AttemptPlan
     ) -> Placement | None:
-        """Return a place if the content is under no suspicion."""
+        """Return a placement, or None once the guard restricts the content."""
         while True:
             placement = await self._acquire_near_target(run, plan)
             try:
@@ -171,9 +175,10 @@
         )
 
     async def _find_isolated(self, run: Run, plan: AttemptPlan) -> Upstream:
-        """Return an upstream on which the guard permits the run, once there is one.
+        """Wait for an upstream on which the guard admits the run, and return it.
 
-        A suspect is then the only one there, unless it had to wait too long.
+        A suspect is then the only one on that upstream, unless it had to wait for
+        `_MAX_ISOLATION_WAIT_SECONDS`.
         """
         give_up_at = self._timers.now() + _MAX_ISOLATION_WAIT_SECONDS
         plan.target = plan.imported_attempt = ""
@@ -199,10 +204,10 @@
             await self._timers.sleep(_POLL_INTERVAL_SECONDS)
 
     def _isolation_candidates(self, run: Run, plan: AttemptPlan) -> list[Upstream]:
-        """Return some upstreams that a suspect may try, the best first.
+        """Return upstreams that a suspect may try, the least loaded first.
 
-        Others than those of lost zones are tried first: the loss of a zone is
-        never to look like that of a second upstream.
+        Zones in which this request has lost an upstream are avoided: a zone failure
+        must not look like a second upstream crash caused by the request.
         """
         usable = [u for u in self._moves.candidates() if _serves(u, run)]
         shared_upstreams = [u for u in usable if u.name in plan.shared_upstreams]
@@ -212,7 +217,7 @@
 
 
 def execution_of(run: Run) -> Execution:
-    """Return what is known about the run's execution."""
+    """Return whether the run may have been executed."""
     return Execution.MAY_HAVE_RUN if run.is_dispatched else Execution.NOT_RUN
 
 
--- a/src/pepperstep/requests/probes.py
+++ b/src/pepperstep/requests/probes.py
@@ -1,4 +1,4 @@
-"""Finds out what became of an upstream whose stream broke."""
+"""Probes upstreams whose stream failed, to find out why."""
 
 import enum
 from dataclasses import dataclass
@@ -14,27 +14,27 @@
 __all__ = ["Diagnosis", "Health", "Probes"]
 
 _PROBE_TIMEOUT_SECONDS = 0.5
-# One broken connection says nothing yet.
+# A single broken connection doesn't show that the process has ended.
 _PROBE_TRIES = 2
 _PROBE_SHARING_SECONDS = 0.1
-# Neighbours that are asked whether they live.
+# Limit on the neighbours that are probed with an upstream.
 _MAX_NEIGHBOURS = 4
-# A neighbour known to be dead for longer was lost by itself.
+# A neighbour known to be dead for longer was lost independently.
 _JOINT_LOSS_SECONDS = 1.0
-# A neighbour that was gone for longer was lost by itself.
+# A neighbour last seen longer ago than this was lost independently.
 _RECENTLY_SEEN_SECONDS = 1.2
 _SEEN_RETENTION_SECONDS = 60.0
-# Longer than the lease of an upstream.
+# Must be longer than the lease of an upstream.
 _RESULT_RETENTION_SECONDS = 10.0
 
 
 class Health(enum.Enum):
-    """State of one life of an upstream."""
+    """State of one incarnation of an upstream."""
 
     ALIVE = enum.auto()
-    # Its process has ended: connections are refused, or a new life answers.
+    # The process has ended: connections are refused, or a new incarnation answers.
     ENDED = enum.auto()
-    # Nothing answers in time: its host or the way to it is lost.
+    # Nothing answers in time: the host or the network path to it failed.
     UNREACHABLE = enum.auto()
 
 
@@ -42,7 +42,8 @@
 class Diagnosis:
     """Health of an upstream and of its neighbours.
 
-    Neighbours share its cloud host or, failing those, its zone.
+    Neighbours are the upstreams on the same cloud host or, if there are none, those in
+    the same zone.
     """
 
     health: Health
@@ -58,20 +59,20 @@
 
 
 class Probes:
-    """Probes of upstreams, one at a time for each."""
+    """Probes upstreams, with at most one probe in progress for each."""
 
     def __init__(self, upstreams: UpstreamClient, view: UpstreamView, timers: Timers):
         self._upstreams = upstreams
         self._view = view
         self._timers = timers
         self._probes: dict[str, _Probe] = {}
-        # Upstreams seen of late, as a view may drop lost ones at once.
+        # Recently seen upstreams, kept because the view may drop lost ones at once.
         self._seen: dict[str, tuple[Upstream, float]] = {}
-        # When an upstream was first found dead, by life.
+        # When each upstream incarnation was first found dead (monotonic seconds).
         self._dead_since: dict[str, float] = {}
 
     def record_live_upstreams(self) -> None:
-        """Remember the upstreams that live now; called now and then."""
+        """Remember the upstreams of the current view; call this periodically."""
         now = self._timers.now()
         for upstream in self._view.candidates():
             self._seen[upstream.name] = (upstream, now)
@@ -80,12 +81,12 @@
                 del self._seen[name]
 
     def last_seen(self, name: str) -> Upstream | None:
-        """Return an upstream as it was last seen, None if that was long ago."""
+        """Return an upstream as last seen, or None if that was too long ago."""
         upstream, _ = self._seen.get(name, (None, 0.0))
         return upstream
 
     async def diagnose(self, upstream: Upstream) -> Diagnosis:
-        """Return the upstream's state now; calls at the same time share a probe."""
+        """Return the upstream's current state; concurrent calls share a probe."""
         key = incarnation_id(upstream)
         asked_at = self._timers.now()
         while True:
@@ -99,7 +100,7 @@
                 del self._probes[key]
 
     async def check(self, upstream: Upstream) -> Health:
-        """Return whether this life of the upstream goes on."""
+        """Return whether this incarnation of the upstream is alive."""
         health = Health.UNREACHABLE
         with self._timers.move_on_after(_PROBE_TIMEOUT_SECONDS):
             health = await self._read_state(upstream)
@@ -109,7 +110,11 @@
         return health
 
     def _is_current(self, probe: _Probe, asked_at: float) -> bool:
-        """Whether a probe tells the state at `asked_at`: only death is for ever."""
+        """Whether a probe is valid at `asked_at`.
+
+        A probe that began earlier is valid only if it found the upstream dead, which is
+        final.
+        """
         if probe.diagnosis is None:
             return False
         is_ended = probe.diagnosis.health is Health.ENDED
@@ -153,7 +158,7 @@
         names.append(incarnation_id(peer))
 
     def _neighbours(self, upstream: Upstream) -> list[Upstream]:
-        """Return upstreams that a loss of the host or zone would take as well."""
+        """Return upstreams that a failure of the same host or zone would also end."""
         self.record_live_upstreams()
         limit = self._timers.now() - _JOINT_LOSS_SECONDS
         others = [
--- a/src/pepperstep/requests/reader.py
+++ b/src/pepperstep/requests/reader.py
@@ -1,4 +1,4 @@
-"""Reads answers, from this host's runs or from the host that owns them."""
+"""Reads answers, from local runs or from the host that owns them."""
 
 from collections.abc import AsyncIterator
 
@@ -16,16 +16,16 @@
 
 _WAIT_TIMEOUT_SECONDS = 1.0
 _RETRY_DELAY_SECONDS = 0.1
-# A reader gives up after this time without an owner; a takeover takes less.
+# A reader without an owner gives up after this time; a takeover takes less.
 _SEARCH_TIMEOUT_SECONDS = 10.0
-# ... or this time in which all hosts say that they don't know the request.
+# A reader gives up after this time in which all hosts say they don't know the request.
 _NOT_FOUND_TIMEOUT_SECONDS = 2.0
-# A reader is sent to other hosts if this one could release nothing for so long.
+# If a run could release nothing for this time, readers are sent to other hosts.
 _MAX_STALL_SECONDS = 5.0
 
 
 class Reader:
-    """Finds runs and reads their released parts."""
+    """Locates runs and reads the parts of their answers."""
 
     def __init__(
         self,
@@ -44,10 +44,10 @@
     async def read(
         self, request_id: str, workspace: str, position: int
     ) -> AsyncIterator[AnswerPart]:
-        """Yield the parts from `position` on; the last one has the outcome.
+        """Yield parts from token `position` on; the last one has the outcome.
 
-        Raise `Failure` with `UNKNOWN_REQUEST` if no host knows the request, and
-        with `PEER_UNREACHABLE` if the caller should read on at another host.
+        Raise `Failure` with `UNKNOWN_REQUEST` if no host knows the request, and with
+        `PEER_UNREACHABLE` if the caller should continue at another host.
         """
         owner = ""
         while True:
@@ -68,7 +68,7 @@
     async def _read_owned(
         self, run: Run, workspace: str, position: int
     ) -> AnswerPart | None:
-        """Return what is new, None if the run is lost or nothing came in time."""
+        """Return unread tokens, or None if the run is lost or nothing came in time."""
         if run.request.workspace != workspace:
             raise _unknown_failure(run.id)
         run.start_requested.set()
@@ -90,7 +90,7 @@
     async def _read_remote(
         self, owner: str, request_id: str, workspace: str, position: int
     ) -> AnswerPart | None:
-        """Return what is new at the owner, None if it isn't the owner any more."""
+        """Return unread tokens from the owner, or None if it isn't the owner."""
         read = journal_pb2.ReadAnswer(
             request_id=request_id, position=position, workspace=workspace
         )
--- a/src/pepperstep/requests/recovery.py
+++ b/src/pepperstep/requests/recovery.py
@@ -1,4 +1,4 @@
-"""What keeps requests going when upstreams leave, end or fall silent."""
+"""Keeps requests running when upstreams are reclaimed, crash or stop responding."""
 
 import random
 
@@ -18,16 +18,16 @@
 __all__ = ["Recovery"]
 
 _CHECK_INTERVAL_SECONDS = 0.5
-# An upstream that sends nothing for this time is probed.
+# An upstream whose stream is silent for this time is probed.
 _PROBE_AFTER_SECONDS = 1.5
-# One that answers probes but sends no token is given up after this time, or
-# after the second one if no token of the attempt has come yet.
+# An upstream that answers probes but sends no token is abandoned after this time.
+# Before the attempt's first token, queueing and prefill may take longer.
 _STALLED_STREAM_SECONDS = 10.0
 _STALLED_START_SECONDS = 60.0
 
 
 class _NoMoves:
-    """Moves of a host that hears of no reclaim and knows no upstreams."""
+    """Moves of a host that gets no reclaim notices."""
 
     def __init__(self) -> None:
         self.attempts = Attempts()
@@ -37,16 +37,16 @@
         task_status.started()
 
     def is_leaving(self, upstream: Upstream) -> bool:
-        """Return what the upstream says."""
+        """Return whether the upstream itself announced that it leaves."""
         return upstream.is_leaving
 
     def candidates(self) -> list[Upstream]:
-        """Return nothing."""
+        """Return no upstreams."""
         return []
 
 
 class Recovery:
-    """Moves, the guard against crashing requests, and probes of one host."""
+    """A host's request moves, crash guard and upstream probes."""
 
     def __init__(
         self, moves: Moves | _NoMoves, guard: Guard, probes: Probes, timers: Timers
@@ -71,7 +71,7 @@
         settings: MoveSettings | None = None,
         is_guarded: bool = True,
     ) -> "Recovery":
-        """Return the parts put together; `moves` is then the router's view."""
+        """Create all parts; `moves` then serves as the router's upstream view."""
         guard: Guard = NoGuard()
         ignore_losses = None
         if is_guarded:
@@ -92,7 +92,7 @@
 
     @classmethod
     def disabled(cls, upstreams: UpstreamClient, timers: Timers) -> "Recovery":
-        """Return parts that move nothing and guard against nothing."""
+        """Return a recovery that moves no requests and blocks none."""
         moves = _NoMoves()
         return cls(moves, NoGuard(), Probes(upstreams, moves, timers), timers)
 
@@ -109,7 +109,7 @@
                         nursery.start_soon(self._check_silent_attempt, active)
 
     async def _check_silent_attempt(self, active: ActiveAttempt) -> None:
-        """Stop an attempt whose upstream doesn't answer, or that is stuck."""
+        """Stop an attempt whose upstream doesn't respond or whose stream stalls."""
         if active.is_exporting:
             return
         last_chunk_at = active.last_chunk_at
--- a/src/pepperstep/requests/remote.py
+++ b/src/pepperstep/requests/remote.py
@@ -1,4 +1,4 @@
-"""Reads answers that other hosts own, all those of one owner at a time."""
+"""Reads answers owned by other hosts, with one batched poll for each owner."""
 
 from dataclasses import dataclass, field
 
@@ -13,14 +13,14 @@
 __all__ = ["AnswerPart", "RemoteReads"]
 
 _CALL_TIMEOUT_SECONDS = 1.0
-# Time between two questions to one owner. Waiting at the owner in place of
-# asking would hold one of its few handlers for each read.
+# Time between two polls of one owner. Long polling would occupy one of the owner's few
+# handlers for each read.
 _POLL_INTERVAL_SECONDS = 0.04
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerPart:
-    """Tokens from `position` on, and the outcome behind the last one."""
+    """Tokens from `position` on, and the outcome after the last one."""
 
     position: int
     tokens: list[str]
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True, eq=False)
 class _PendingRead:
-    """A reader that waits for something new, or to hear of a new owner."""
+    """A read that waits for new tokens, an outcome or a change of the owner."""
 
     read: journal_pb2.ReadAnswer
     done: trio.Event = field(default_factory=trio.Event)
@@ -37,7 +37,7 @@
 
 
 class RemoteReads:
-    """Readers of this host that wait for other hosts' answers."""
+    """This host's reads of answers that other hosts own."""
 
     def __init__(self, peers: PeerNetwork, timers: Timers):
         self._peers = peers
@@ -46,11 +46,11 @@
         self._nursery: trio.Nursery | None = None
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Ask owners in tasks of `nursery`."""
+        """Poll owners in tasks of `nursery`."""
         self._nursery = nursery
 
     async def read(self, owner: str, read: journal_pb2.ReadAnswer) -> AnswerPart | None:
-        """Return what is new at `owner`, None if it isn't the owner any more."""
+        """Return unread tokens at `owner`, or None if it isn't the owner any longer."""
         pending_read = _PendingRead(read)
         is_first = owner not in self._pending
         self._pending.setdefault(owner, []).append(pending_read)
--- a/src/pepperstep/requests/run.py
+++ b/src/pepperstep/requests/run.py
@@ -1,4 +1,4 @@
-"""State of one accepted request on the host that owns it."""
+"""State of an accepted request on its owner."""
 
 import msgspec
 import trio
@@ -13,42 +13,43 @@
 class Run:
     """A request with the tokens generated so far and its outcome.
 
-    Tokens and outcome reach readers only once the second host has them and no
-    other host can take the request over, so whoever owns the request later goes
-    on from what its caller has seen.
+    Readers see tokens and the outcome only once the backup host has them and no other
+    host can take over the request. A later owner therefore never contradicts what the
+    caller has already read.
     """
 
     def __init__(self, request: Request, epoch: int = 1):
         self.request = request
         self.epoch = epoch
         self.tokens: list[str] = []
-        # Attempts started so far, and the upstream of the last one.
+        # Number of attempts started, and the upstream of the last one.
         self.attempt = 0
         self.upstream = ""
         # Whether a byte of the request may have reached an upstream.
         self.is_dispatched = False
-        # Claim under which this host may run what isn't repeatable.
+        # Permission to execute a non-repeatable request.
         self.claim: Claim | None = None
-        # Upstreams that died without notice while they ran this request.
+        # Upstreams that crashed while they ran this request (see `incarnation_id`).
         self.lost_upstreams: list[str] = []
         self.outcome: Outcome | None = None
-        # Grows with each change that the second host is to know.
+        # Increases with each change that has to be replicated to the backup host.
         self.version = 0
-        # Whether another host has become the owner, and which one if known.
+        # Whether another host has taken over the request, and its name if known.
         self.is_lost = False
         self.new_owner = ""
-        # False once the run has ended and no second need keep it any more.
+        # False once no backup host has to keep a record of the run.
         self.is_backup_needed = True
-        # Earlier links whose second may still take the request over.
+        # Earlier links whose backup host may still take over the request.
         self.prior_links: list[journal_pb2.Link] = []
-        # Monotonic time since which nothing can be released, None if it can.
+        # Monotonic time since which nothing could be released to readers, None while it
+        # can.
         self.stalled_since: float | None = None
-        # Readers now, and when the last one left (monotonic seconds).
+        # Number of current readers, and when the last one left (monotonic seconds).
         self.readers = 0
         self.last_reader_left_at = 0.0
-        # Set once somebody has asked for the answer, or it is to be stopped.
+        # Set when a caller asks for the answer or the run is cancelled.
         self.start_requested = trio.Event()
-        # Stops the work of this host on the request.
+        # Cancels this host's work on the request.
         self.scope = trio.CancelScope()
         self._is_recorded = False
         self._acknowledged = 0
@@ -60,7 +61,7 @@
 
     @classmethod
     def from_record(cls, record: journal_pb2.RequestRecord) -> "Run":
-        """Return the run of a new owner, one epoch after the record's."""
+        """Return the run of a new owner, with the record's epoch increased by one."""
         request = msgspec.json.decode(record.request, type=Request)
         run = cls(request, record.epoch + 1)
         run.tokens = list(record.tokens)
@@ -79,26 +80,26 @@
 
     @property
     def released(self) -> int:
-        """Number of tokens that readers may have."""
+        """Number of tokens that readers may see."""
         return self._released
 
     @property
     def released_outcome(self) -> Outcome | None:
-        """The outcome once readers may have it."""
+        """The outcome, or None until readers may see it."""
         return self.outcome if self._is_outcome_released else None
 
     @property
     def is_recorded(self) -> bool:
-        """Whether the present second host has a record of the request."""
+        """Whether the current backup host has a record of the request."""
         return self._is_recorded
 
     @property
     def is_confirmed(self) -> bool:
-        """Whether the present second has all, and no other host can take over."""
+        """Whether the backup host is up to date and no other host can take over."""
         return self._is_committed and self._acknowledged_version >= self.version
 
     def to_record(self) -> journal_pb2.RequestRecord:
-        """Return the whole state as a record for the second host."""
+        """Return the full state as a record for the backup host."""
         return journal_pb2.RequestRecord(
             request_id=self.id,
             epoch=self.epoch,
@@ -113,7 +114,7 @@
         )
 
     def to_checkpoint(self, position: int) -> journal_pb2.Checkpoint:
-        """Return what the run has added from token `position` on."""
+        """Return the changes of the run from token `position` on."""
         return journal_pb2.Checkpoint(
             request_id=self.id,
             position=position,
@@ -126,7 +127,7 @@
         )
 
     def add_prior_link(self, prior: journal_pb2.Link, now: float) -> None:
-        """Release nothing until another second has the run and `prior` is dropped."""
+        """Release nothing until another backup has the run and `prior` is dropped."""
         self.prior_links.append(prior)
         self._is_recorded = False
         self._acknowledged_version = -1
@@ -134,12 +135,12 @@
             self.stalled_since = now
 
     def remove_prior_link(self, prior: journal_pb2.Link) -> None:
-        """Note that the agreed log has dropped the link `prior`."""
+        """Record that the replicated log has dropped the link `prior`."""
         self.prior_links.remove(prior)
         self._release()
 
     def acknowledge(self, token_count: int, has_outcome: bool, version: int) -> None:
-        """Note what the present second host has."""
+        """Record what the current backup host has acknowledged."""
         self._is_recorded = True
         self._acknowledged = max(self._acknowledged, token_count)
         self._acknowledged_version = version
@@ -147,44 +148,44 @@
         self._release()
 
     def release_outcome(self) -> None:
-        """Let readers have the outcome of a run that wasn't accepted at once."""
+        """Let readers see the outcome of a refused run without waiting for a backup."""
         self._is_outcome_released = True
         self._notify()
 
     def stop(self) -> None:
-        """Stop the work on this host."""
+        """Cancel the work on this host."""
         self.scope.cancel()
         self.start_requested.set()
 
     def mark_lost(self, new_owner: str = "") -> None:
-        """Stop the work on this host, as another one owns the request."""
+        """Cancel the work on this host because another host owns the request."""
         self.is_lost = True
         self.new_owner = new_owner
         self.stop()
         self._notify()
 
     def stop_backup(self) -> None:
-        """Note that no second need keep the run any more."""
+        """Record that no backup host has to keep the run any longer."""
         self.is_backup_needed = False
         self._notify()
 
     async def wait_change(self) -> None:
-        """Return after the next release, or when the run is lost."""
+        """Wait for the next release, or for the loss of the run."""
         await self._changed.wait()
 
     async def wait_recorded(self) -> None:
-        """Return once the present second has a record, or none need have it."""
+        """Wait until the backup host has a record, or no record is needed."""
         while not self._is_recorded and self.is_backup_needed and not self.is_lost:
             await self._changed.wait()
 
     async def wait_confirmed(self) -> None:
-        """Return once the run `is_confirmed`, or never will be."""
+        """Wait until the run `is_confirmed`, or can't become so."""
         while not self.is_confirmed and self.is_backup_needed and not self.is_lost:
             await self._changed.wait()
 
     @property
     def _is_committed(self) -> bool:
-        """Whether what the present second has counts."""
+        """Whether acknowledgements of the current backup host may be released."""
         return self._is_recorded and not self.prior_links
 
     def _release(self) -> None:
--- a/src/pepperstep/requests/service.py
+++ b/src/pepperstep/requests/service.py
@@ -1,4 +1,4 @@
-"""Takes requests on, keeps them through failures of hosts, and answers them."""
+"""Accepts requests, takes over those of failed hosts, and serves their answers."""
 
 from collections.abc import AsyncIterator
 from dataclasses import dataclass, field
@@ -34,23 +34,23 @@
 _OWNER_CHECK_INTERVAL_SECONDS = 0.25
 _RUN_CHECK_INTERVAL_SECONDS = 1.0
 _CLAIM_FINISH_TIMEOUT_SECONDS = 1.0
-# An owner that leaves waits this long for its requests to have a new second.
+# How long a new owner waits for its own backup before it confirms a handover.
 _HANDOVER_WAIT_SECONDS = 2.0
 _CANCEL_TIMEOUT_SECONDS = 1.0
-# An ended run stays with a second for this time, for readers that are behind.
+# Readers may still ask for an ended run, so its backup copy is kept this long.
 _ENDED_BACKUP_SECONDS = 30.0
 
 
 @dataclass(frozen=True, slots=True)
 class EarlierRequest:
-    """The earlier request that answers a caller, as it has the same key."""
+    """The id of an earlier request with the same idempotency key."""
 
     id: str
 
 
 @dataclass(slots=True)
 class _Submission:
-    """What becomes of a request that a caller has just sent."""
+    """The pending result of a `submit` call."""
 
     run: Run
     done: trio.Event = field(default_factory=trio.Event)
@@ -59,7 +59,7 @@
 
 
 class RequestService:
-    """All requests that this host owns or keeps as second."""
+    """All requests that this host owns, and records it keeps as a backup."""
 
     def __init__(
         self,
@@ -92,7 +92,7 @@
         self._claims = claims or NoClaims()
         self._owned: dict[str, Run] = {}
         self._ended_at: dict[str, float] = {}
-        # Links whose takeover this host is about to decide.
+        # Links for which a takeover by this host is in progress.
         self._pending_takeovers: set[LinkKey] = set()
         takeovers = TakeoverQueries(peers, directory)
         self._backup_records = BackupRecords(incarnation, timers, decisions, takeovers)
@@ -134,14 +134,14 @@
 
     @property
     def running(self) -> int:
-        """Number of owned requests without an outcome that readers may have."""
+        """Number of owned requests whose outcome readers can't see yet."""
         return sum(
             run.released_outcome is None and not run.is_lost
             for run in self._owned.values()
         )
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED) -> None:
-        """Work on requests until cancelled."""
+        """Process requests until cancelled."""
         async with trio.open_nursery() as self._nursery:
             self._remote.start(self._nursery)
             await self._nursery.start(self._journal.run, self._nursery)
@@ -152,10 +152,11 @@
             await trio.sleep_forever()
 
     async def submit(self, request: Request) -> Run | EarlierRequest:
-        """Accept a request: return once its second host has recorded it.
+        """Accept a request and return once a backup host has recorded it.
 
-        A repeat gets the earlier request with its idempotency key. Raise `Failure`
-        if there is no request that will answer; this one has not run then.
+        Return an `EarlierRequest` if another request with the same idempotency key
+        answers the caller. Raise `Failure` if no request will answer; this one has then
+        not run.
         """
         self._router.check(request)
         self._recovery.guard.check(request)
@@ -173,11 +174,11 @@
     def read(
         self, request_id: str, workspace: str, position: int = 0
     ) -> AsyncIterator[AnswerPart]:
-        """Yield the answer's parts from token `position` on (see `Reader`)."""
+        """Yield the answer's parts from token `position` on (see `Reader.read`)."""
         return self._reader.read(request_id, workspace, position)
 
     async def cancel(self, request_id: str, workspace: str) -> bool:
-        """Stop a request at its owner; return whether it was found."""
+        """Cancel a request at its owner and return whether it was found."""
         if self._cancel_here(request_id, workspace):
             return True
         found = await self._finder.find(request_id)
@@ -193,7 +194,7 @@
         return answer.is_found
 
     async def hand_over(self) -> None:
-        """Ask the second hosts to own what this host owns, as it leaves."""
+        """Ask the backup hosts to take over all requests, before a shutdown."""
         await self._journal.hand_over()
 
     async def _accept(self, submission: _Submission) -> None:
@@ -202,7 +203,8 @@
             submission.request_id = await self._acceptance.accept(run)
         except Failure as failure:
             if run.is_lost:
-                # Its new owner may run it for another caller with the key.
+                # The new owner may run it for another caller with the same idempotency
+                # key, so this caller must read that answer rather than get a refusal.
                 submission.request_id = run.id
             else:
                 submission.failure = await self._refuse(run, failure)
@@ -216,7 +218,7 @@
         await self._drive(run)
 
     async def _refuse(self, run: Run, failure: Failure) -> Failure:
-        """End a run that won't run, and return what to tell its caller."""
+        """End a run that won't be executed and return the failure for its caller."""
         failure = await self._acceptance.refuse(run, failure)
         self._record_end(run)
         await self._settle_claim(run)
@@ -229,11 +231,11 @@
         await self._settle_claim(run)
 
     async def _settle_claim(self, run: Run) -> None:
-        """Record with the claim how the run ended."""
+        """Record the run's outcome in its claim."""
         if run.outcome is None:
             return
         if run.claim is None and run.epoch > 1 and not run.request.is_repeatable:
-            # The earlier owner's claim may be open.
+            # The previous owner may have left its claim open.
             await self._acceptance.take_over_claim(run)
         if run.claim is not None:
             outcome = claim_outcome(run.tokens, run.outcome)
@@ -242,7 +244,7 @@
     def _register(self, run: Run) -> None:
         earlier = self._owned.get(run.id)
         if earlier is not None:
-            # The request comes back to this host by another owner.
+            # The request was taken over from here and has now been taken back.
             self._journal.remove(earlier)
             earlier.mark_lost()
         run.last_reader_left_at = self._timers.now()
@@ -250,7 +252,7 @@
         self._ended_at.pop(run.id, None)
 
     def _record_end(self, run: Run) -> None:
-        # The request may have come back to this host as another run.
+        # A newer run of the same request may have been registered here since.
         if self._owned.get(run.id) is run:
             self._ended_at[run.id] = self._timers.now()
 
@@ -280,7 +282,7 @@
         return True
 
     async def _watch_owners(self) -> None:
-        """Take over from owners whose process has ended."""
+        """Take over the requests of owners whose process has ended."""
         async for _ in self._timers.subscribe(_OWNER_CHECK_INTERVAL_SECONDS):
             for link in self._backup_records.links_to_take_over(
                 self._directory.is_gone
@@ -293,12 +295,14 @@
         try:
             self._adopt_runs(link, await self._backup_records.take_over(link))
         except Failure as failure:
-            logging.warning("requests: Takeover of %s waits: %s", link.owner, failure)
+            logging.warning(
+                "requests: Takeover from %s will be retried: %s", link.owner, failure
+            )
         finally:
             self._pending_takeovers.discard(link_key(link))
 
     def _adopt_runs(self, link: journal_pb2.Link, runs: list[Run]) -> None:
-        """Go on with the runs of a link that this host has taken over."""
+        """Continue the runs of a link that this host has taken over."""
         if not runs:
             return
         for run in runs:
@@ -317,13 +321,17 @@
             )
 
     def _keep_as_backup(self, link: journal_pb2.Link, runs: list[Run]) -> None:
-        """Hold runs that the second of `link` has taken over, until it is safe."""
+        """Keep backup records of runs that the link's backup host has taken over.
+
+        This protects them until the new owner has a backup host of its own.
+        """
         self._backup_records.add_runs(reverse_link(link), runs)
 
     async def _resume(self, run: Run) -> None:
-        """Bring a run that was taken over to its end.
+        """Run a request that was taken over to its outcome.
 
-        One that hasn't started may have been refused, so it waits for its caller.
+        A request without an attempt may have been refused by its previous owner, so it
+        starts only when a caller asks for it.
         """
         if run.outcome is None and run.attempt == 0:
             await run.start_requested.wait()
@@ -337,14 +345,14 @@
         await self._drive(run)
 
     async def _reacquire_claim(self, run: Run) -> None:
-        """Take over the claim of the run's earlier owner, or its outcome."""
+        """Acquire the claim of the run's previous owner, or adopt its outcome."""
         holder = await self._acceptance.claim(run)
         if holder != run.id:
             text = f"Request {holder} has the Idempotency-Key."
             raise Failure(Code.NOT_READY, text, retry_after=0.1)
 
     async def _watch_runs(self) -> None:
-        """Stop runs that nobody reads, and forget those that ended."""
+        """Cancel runs without readers and remove expired ones."""
         async for now in self._timers.subscribe(_RUN_CHECK_INTERVAL_SECONDS):
             for run in list(self._owned.values()):
                 ended_at = self._ended_at.get(run.id)
@@ -357,7 +365,8 @@
             await self._keys.refresh(self._keyed_requests())
 
     def _stop_unread(self, run: Run, now: float) -> None:
-        # What may run only once is worth its end to the caller's repeat.
+        # A non-repeatable request can't be sent again, so its answer is kept for a
+        # caller who retries.
         is_required_to_finish = run.is_dispatched and not run.request.is_repeatable
         is_unread = (
             run.readers == 0 and now - run.last_reader_left_at > self._resume_grace
--- a/src/pepperstep/requests/suspects.py
+++ b/src/pepperstep/requests/suspects.py
@@ -1,7 +1,7 @@
-"""What the deciding host of a content knows: its losses and its runs.
+"""Losses and runs of contents, as known by the host that decides on them.
 
-The upstreams that a content has ended and the distinct upstreams that run it
-are never more than two together, so no content ends a third one.
+For each content, the upstreams it has ended and the distinct upstreams that run it are
+never more than two together, so no content can end a third one.
 """
 
 from collections import OrderedDict
@@ -15,23 +15,23 @@
 
 __all__ = ["SuspectTracker", "content_hash", "incarnation_id"]
 
-# Distinct upstreams lost that convict a content.
+# Distinct upstreams that a content may end before it is blocked.
 _BLOCKING_LOSSES = 2
-# A content that was answered whole isn't limited for this time.
+# A content that was answered completely isn't restricted for this time.
 _ANSWERED_EXEMPTION_SECONDS = 600.0
 _LOSS_RETENTION_SECONDS = 600.0
 _RESERVATION_SECONDS = 3.0
-# Time for the new owner of a run to tell what became of it.
+# Time for a new owner to report what became of a run whose owner is gone.
 _ORPHANED_RUN_SECONDS = 5.0
 _MAX_CONTENTS = 100_000
 
 
 def content_hash(request: Request) -> str:
-    """Return the hash of what may make an upstream crash.
+    """Return a hash of everything that may make an upstream crash.
 
-    Id, key, seed, length and priority are left out, since a caller changes
-    them when it sends its content again. Adapter and version are left out too,
-    as the same engines serve them.
+    Id, key, seed, length and priority are left out, because a caller changes them when
+    it sends the same content again. Adapter and version are left out because the same
+    engines serve them.
     """
     if request.kind is RequestKind.SERVICE:
         head = f"service\0{request.target}\0{request.method}\0{request.path}\0"
@@ -41,13 +41,13 @@
 
 
 def incarnation_id(upstream: Upstream) -> str:
-    """Return what names one life of an upstream."""
+    """Return an id for one incarnation of an upstream, NAME/EPOCH."""
     return f"{upstream.name}/{upstream.epoch}"
 
 
 @dataclass(slots=True)
 class _GrantedRun:
-    """A run that was granted."""
+    """A run that was admitted and hasn't ended."""
 
     owner: str
     incarnation: int
@@ -59,21 +59,22 @@
 
 @dataclass(slots=True)
 class _Content:
-    """State of one content."""
+    """Losses and runs of one content."""
 
-    # Unix time of the loss, by upstream.
+    # Unix time of each loss, by upstream incarnation.
     losses: dict[str, float] = field(default_factory=dict)
     runs: dict[str, _GrantedRun] = field(default_factory=dict)
-    # Losses that it outlived: a run passed the position of the loss. With one
-    # of them it runs apart to its end.
+    # Losses that the content survived: a later run passed the position at which the
+    # upstream was lost. If there are any, the content runs isolated to its end.
     survived_losses: dict[str, float] = field(default_factory=dict)
-    # Losses that convict it, one more if one of them was beside another suspect.
+    # Losses that block the content; one more if another suspect shared the upstream of
+    # one of them.
     blocking_losses: int = _BLOCKING_LOSSES
     answered_until: float = 0.0
 
 
 class SuspectTracker:
-    """Contents that this host decides on, or keeps note of for the one that does.
+    """Contents that this host decides on, or tracks for the deciding host.
 
     `is_gone` tells whether a run's owner has ended; times are Unix seconds.
     """
@@ -85,20 +86,20 @@
         self._verdict_seconds = verdict_seconds
         self._contents: OrderedDict[str, _Content] = OrderedDict()
         self._verdicts: dict[str, verdicts_pb2.Verdict] = {}
-        # Upstreams whose loss has another cause, and the time they're kept.
+        # Upstreams whose loss has another cause, and until when that is remembered.
         self._ignored_losses: dict[str, float] = {}
-        # Request that is the only suspect on an upstream, and its time's end.
+        # Request that reserved an upstream, and the end of the reservation.
         self._reservations: dict[str, tuple[str, float]] = {}
 
     def active_verdict(self, content: str, now: float) -> verdicts_pb2.Verdict | None:
-        """Return the verdict on a content while it holds."""
+        """Return the verdict that blocks a content, or None."""
         verdict = self._verdicts.get(content)
         return verdict if verdict is not None and verdict.until > now else None
 
     def admit(
         self, message: verdicts_pb2.RunContent, owner: str, now: float
     ) -> verdicts_pb2.RunAnswer:
-        """Decide whether a run may start, and take note of it if so."""
+        """Decide whether a run may start, and record it if so."""
         verdict = self.active_verdict(message.content, now)
         if verdict is not None:
             return _answer(verdicts_pb2.PERMISSION_REFUSED, verdict=verdict)
@@ -106,7 +107,7 @@
         self._import_losses(content, message.lost, now)
         self._prune(content, now)
         if not message.is_decided and len(content.losses) >= content.blocking_losses:
-            # It took note of them for a host that has ended since.
+            # These losses were tracked for a deciding host that has ended since.
             verdict = self._block(message.content, content, now)
             return _answer(verdicts_pb2.PERMISSION_REFUSED, verdict=verdict)
         content.runs.pop(message.request_id, None)
@@ -123,7 +124,7 @@
         return answer
 
     def record_end(self, ended: verdicts_pb2.EndedRun, owner: str, now: float) -> None:
-        """Take note of how a run ended, or that it passed its point of loss."""
+        """Record how a run ended, or that it passed the position of its loss."""
         content = self._contents.get(ended.content)
         if content is None:
             return
@@ -143,7 +144,7 @@
     def report_loss(
         self, message: verdicts_pb2.ReportLoss, now: float
     ) -> verdicts_pb2.LossAnswer:
-        """Count a loss against a content, and convict it at the second."""
+        """Count a loss against a content, and block the content if it's one too many."""
         verdict = self.active_verdict(message.content, now)
         if verdict is not None:
             return verdicts_pb2.LossAnswer(verdict=verdict)
@@ -165,7 +166,7 @@
         return verdicts_pb2.LossAnswer(is_counted=True, verdict=verdict)
 
     def add_verdict(self, verdict: verdicts_pb2.Verdict, now: float) -> None:
-        """Take a verdict; what it explains no longer counts against others."""
+        """Store a verdict; its upstreams no longer count against other contents."""
         self._verdicts[verdict.content] = verdict
         self.ignore_losses(verdict.upstreams, now)
         for key in [k for k, v in self._verdicts.items() if v.until <= now]:
@@ -184,7 +185,10 @@
                 content.survived_losses.pop(upstream, None)
 
     def reserve_upstream(self, message: verdicts_pb2.HoldUpstream, now: float) -> bool:
-        """Let a request be the only suspect on an upstream for some seconds."""
+        """Make a request the only suspect on an upstream for `_RESERVATION_SECONDS`.
+
+        Return whether it is; a release returns False.
+        """
         holder_id, until = self._reservations.get(message.upstream, ("", 0.0))
         is_free = until <= now or holder_id == message.request_id
         if message.is_release:
@@ -215,8 +219,8 @@
         used = {run.upstream: run.zone for run in content.runs.values()}
         if message.upstream in used or not used:
             return granted
-        # The second upstream stands in another zone, so that the loss of a
-        # zone is never that of both.
+        # The second upstream must be in another zone, so that a zone failure never
+        # takes both.
         is_other_zone = message.zone not in used.values()
         if len(used) < _BLOCKING_LOSSES and is_other_zone:
             return granted
@@ -225,7 +229,7 @@
     def _import_losses(
         self, content: _Content, upstreams: Iterable[str], now: float
     ) -> None:
-        """Take losses that the run remembers, as this host may be new to them."""
+        """Add losses that the run remembers and this host may not know."""
         for upstream in upstreams:
             is_known = upstream in self._ignored_losses or content.answered_until > now
             if not is_known and upstream not in content.survived_losses:
@@ -234,7 +238,7 @@
     def _has_other_cause(
         self, content: _Content, message: verdicts_pb2.ReportLoss, now: float
     ) -> bool:
-        """Whether the upstream went for a cause that it shared with others."""
+        """Whether the upstream was lost for a cause that it shared with others."""
         if self._ignored_losses.get(message.upstream, 0.0) > now:
             return True
         others = set(message.dead_peers) - content.losses.keys()
--- a/src/pepperstep/requests/takeovers.py
+++ b/src/pepperstep/requests/takeovers.py
@@ -1,4 +1,4 @@
-"""What the seconds of links have taken over."""
+"""Queries which requests a backup host has taken over."""
 
 from collections.abc import Iterable
 
@@ -13,9 +13,9 @@
 
 
 class TakeoverQueries:
-    """Asks the seconds that have taken links over for the requests they took.
+    """Asks backup hosts which requests of a link they took over.
 
-    A link's second may not have had all of them, as a record was on its way.
+    A backup host may lack some requests of a link whose records were still in flight.
     """
 
     def __init__(self, peers: PeerNetwork, directory: Directory):
@@ -23,10 +23,10 @@
         self._directory = directory
 
     async def ask(self, link: journal_pb2.Link, request_ids: Iterable[str]) -> set[str]:
-        """Return those of the requests that went over with the link.
+        """Return those of the requests that were taken over with the link.
 
-        Those are all, if the second can't tell any more. Raise `Failure` if it
-        can't tell yet or doesn't answer.
+        All are returned if the backup host no longer knows. Raise `Failure` if it can't
+        tell yet or doesn't answer.
         """
         wanted = set(request_ids)
         if self._directory.is_gone(link.second, link.second_incarnation):
@@ -36,7 +36,11 @@
         return self.read(answer, wanted)
 
     def read(self, answer: journal_pb2.TakenRequests, wanted: set[str]) -> set[str]:
-        """Return what an answer says; raise `Failure` if it is to be asked again."""
+        """Return the requests that an answer lists.
+
+        All of `wanted` are returned if the answering host no longer knows the link.
+        Raise `Failure` if the takeover is still undecided.
+        """
         if answer.state == journal_pb2.TakenRequests.DECIDING:
             raise Failure(Code.NOT_READY, "The takeover isn't finished.")
         if answer.state == journal_pb2.TakenRequests.UNKNOWN:
