--- a/src/pepperstep/requests/acceptance.py
+++ b/src/pepperstep/requests/acceptance.py
@@ -45,10 +45,10 @@
         """
         request = run.request
         if request.is_repeatable and request.idempotency_key:
-            first = await self._reserve(request)
-            if first != run.id:
-                return first
-        await self._record(run)
+            holder_id = await self._reserve(request)
+            if holder_id != run.id:
+                return holder_id
+        await self._replicate(run)
         return run.id if request.is_repeatable else await self.claim(run)
 
     async def claim(self, run: Run) -> str:
@@ -135,7 +135,7 @@
                 continue
             await self._timers.sleep(_RETRY_DELAY_SECONDS)
 
-    async def _record(self, run: Run) -> None:
+    async def _replicate(self, run: Run) -> None:
         self._journal.add(run)
         with self._timers.move_on_after(self._seconds_left(run)):
             await run.wait_confirmed()
--- a/src/pepperstep/requests/backup_records.py
+++ b/src/pepperstep/requests/backup_records.py
@@ -54,15 +54,15 @@
     def request_ids_by_prior_link(self) -> list[tuple[journal_pb2.Link, set[str]]]:
         """Return the prior links of the records, each with its request ids."""
         found: dict[LinkKey, tuple[journal_pb2.Link, set[str]]] = {}
-        for request_id, backup in self.records.items():
-            for prior in backup.record.priors:
+        for request_id, entry in self.records.items():
+            for prior in entry.record.priors:
                 found.setdefault(link_key(prior), (prior, set()))[1].add(request_id)
         return list(found.values())
 
     def taken_over(self, wanted: set[str]) -> set[str] | None:
         """Return the requests that a takeover covers, or None while undecided."""
-        present = {each for each in wanted if each in self.records}
-        has_priors = any(self.records[each].record.priors for each in present)
+        present = {entry for entry in wanted if entry in self.records}
+        has_priors = any(self.records[entry].record.priors for entry in present)
         return present if self.is_granted and not has_priors else None
 
 
@@ -118,7 +118,7 @@
         if batch.sequence > backup.sequence:
             backup.sequence = batch.sequence
             backup.link = batch.link
-            backup.ack = self._record(backup, batch)
+            backup.ack = self._apply_batch(backup, batch)
         return backup.ack
 
     async def handle_forget(
@@ -188,9 +188,9 @@
             self._end(link, _EndedLink())
             return []
         records = [
-            each.record
-            for each in backup.records.values()
-            if _is_owned(each.record, taken_elsewhere)
+            entry.record
+            for entry in backup.records.values()
+            if _is_owned(entry.record, taken_elsewhere)
         ]
         ids = tuple(record.request_id for record in records)
         self._end(link, _EndedLink(is_taken=True, request_ids=ids))
@@ -199,14 +199,14 @@
 
     def prune(self, keep_seconds: float) -> None:
         """Remove requests that ended or expired more than `keep_seconds` ago."""
-        changed_by = self._timers.now() - keep_seconds
-        due_by = self._timers.wall() - keep_seconds
+        changed_before = self._timers.now() - keep_seconds
+        expired_before = self._timers.wall() - keep_seconds
         for backup in self._links.values():
             if backup.is_takeover_pending:
                 continue
-            for request_id, each in list(backup.records.items()):
-                is_ended = each.record.outcome and each.updated_at < changed_by
-                if is_ended or each.deadline < due_by:
+            for request_id, entry in list(backup.records.items()):
+                is_ended = entry.record.outcome and entry.updated_at < changed_before
+                if is_ended or entry.deadline < expired_before:
                     del backup.records[request_id]
 
     async def _drop_prior_links(self, backup: _BackupLink) -> dict[LinkKey, set[str]]:
@@ -247,7 +247,7 @@
         if len(self._ended) > _MAX_ENDED_LINKS:
             self._ended.popitem(last=False)
 
-    def _record(
+    def _apply_batch(
         self, backup: _BackupLink, batch: journal_pb2.JournalBatch
     ) -> journal_pb2.JournalAck:
         ack = journal_pb2.JournalAck()
@@ -271,12 +271,14 @@
     def _apply_checkpoint(
         self, backup: _BackupLink, checkpoint: journal_pb2.Checkpoint
     ) -> bool:
-        each = backup.records.get(checkpoint.request_id)
-        if each is None or checkpoint.position > len(each.record.tokens):
+        entry = backup.records.get(checkpoint.request_id)
+        if entry is None or checkpoint.position > len(entry.record.tokens):
             return False
-        record = each.record
-        known = len(record.tokens) - checkpoint.position
-        record.tokens.extend(checkpoint.tokens[known:] if known else checkpoint.tokens)
+        record = entry.record
+        known_count = len(record.tokens) - checkpoint.position
+        record.tokens.extend(
+            checkpoint.tokens[known_count:] if known_count else checkpoint.tokens
+        )
         record.attempt = checkpoint.attempt
         record.upstream = checkpoint.upstream
         record.is_dispatched = checkpoint.is_dispatched
@@ -284,7 +286,7 @@
         if len(record.lost_upstreams) != len(checkpoint.lost_upstreams):
             record.ClearField("lost_upstreams")
             record.lost_upstreams.extend(checkpoint.lost_upstreams)
-        each.updated_at = self._timers.now()
+        entry.updated_at = self._timers.now()
         return True
 
 
--- a/src/pepperstep/requests/broadcast.py
+++ b/src/pepperstep/requests/broadcast.py
@@ -64,7 +64,7 @@
     def add(self, item_id: str, item: T, until: float, is_own: bool = True) -> bool:
         """Broadcast an item; return False if it is known or expired.
 
-        An item of this host's own goes to all entry hosts, a received one to a few.
+        Items created at this host are sent to all entry hosts, received ones to a few.
         """
         if item_id in self._entries or until <= self._timers.wall():
             return False
--- a/src/pepperstep/requests/crash_guard.py
+++ b/src/pepperstep/requests/crash_guard.py
@@ -79,7 +79,7 @@
             verdicts_pb2.RunContent: self._handle_run_content,
             verdicts_pb2.EndedRuns: self._handle_ended,
             verdicts_pb2.ReportLoss: self._handle_loss,
-            verdicts_pb2.HoldUpstream: self._handle_hold,
+            verdicts_pb2.HoldUpstream: self._handle_reservation,
         }
         for message_type, handler in self._handlers.items():
             peers.handle(message_type, handler)
@@ -214,11 +214,11 @@
         ask it if the deciding host has ended.
         """
         first, *others = self._rank(message.content)[:_DECISION_HOSTS]
-        note = verdicts_pb2.ReportLoss()
-        note.CopyFrom(message)
+        copy = verdicts_pb2.ReportLoss()
+        copy.CopyFrom(message)
         answer = None
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._send_copy, note, others)
+            nursery.start_soon(self._send_copy, copy, others)
             answer = await self._try_call(first, message)
         for host in others:
             if answer is None:
@@ -257,10 +257,10 @@
             except Failure:
                 continue
             answers.append(answer.is_granted)
-        is_held = bool(answers) and all(answers)
-        if any(answers) and not is_held:
+        is_reserved = bool(answers) and all(answers)
+        if any(answers) and not is_reserved:
             await self._reserve(request_id, key, is_release=True)
-        return is_held
+        return is_reserved
 
     async def _call(
         self,
@@ -347,7 +347,7 @@
             self._add_verdict(answer.verdict, is_own=True)
         return answer
 
-    async def _handle_hold(
+    async def _handle_reservation(
         self, message: verdicts_pb2.HoldUpstream, sender: str
     ) -> verdicts_pb2.HoldAnswer:
         is_granted = self._suspects.reserve_upstream(message, self._timers.wall())
--- a/src/pepperstep/requests/driver.py
+++ b/src/pepperstep/requests/driver.py
@@ -133,16 +133,17 @@
     async def _attempt_until_answered(self, run: Run) -> Outcome:
         plan = AttemptPlan()
         if run.is_dispatched:
-            # This host has taken over the request, as a new run starts undispatched.
+            # Only a request that was taken over is dispatched before its first attempt
+            # here.
             self._check_repeatable(run, False)
             await self._diagnose_inherited_loss(run, plan)
         while True:
-            asked_at = self._timers.now()
+            queued_at = self._timers.now()
             placement = await self._placer.place(run, plan)
             self._recorder.note_queued(
                 run.request.workspace,
                 run.request.priority,
-                self._timers.now() - asked_at,
+                self._timers.now() - queued_at,
             )
             upstream = placement.upstream
             plan.excluded.add(upstream.name)
--- a/src/pepperstep/requests/idempotency_keys.py
+++ b/src/pepperstep/requests/idempotency_keys.py
@@ -14,7 +14,7 @@
 from pepperstep.proto import journal_pb2
 from pepperstep.requests.journal import rank_hosts
 
-__all__ = ["KeyReservations", "IdempotencyKeys"]
+__all__ = ["IdempotencyKeys", "KeyReservations"]
 
 _CALL_TIMEOUT_SECONDS = 0.3
 # Number of hosts that keep a key, and number of hosts tried if some don't answer.
@@ -89,7 +89,7 @@
         self._timers = timers
         self._directory = directory
         self._keep_seconds = keep_seconds
-        self.table = KeyReservations(timers)
+        self.local_reservations = KeyReservations(timers)
         # Names of the entry hosts when keys were last refreshed.
         self._known_hosts: frozenset[str] = frozenset()
         peers.handle(journal_pb2.ReserveKeys, self._handle_reserve)
@@ -140,7 +140,10 @@
     ) -> list[journal_pb2.KeyReservation]:
         """Return the keys' holders, or nothing if the host doesn't answer."""
         if name == self._host.name:
-            return [self.table.reserve(reservation) for reservation in reservations]
+            return [
+                self.local_reservations.reserve(reservation)
+                for reservation in reservations
+            ]
         message = journal_pb2.ReserveKeys(reservations=reservations)
         try:
             answer = await self._peers.call(name, message, _CALL_TIMEOUT_SECONDS)
@@ -152,7 +155,8 @@
         self, message: journal_pb2.ReserveKeys, sender: str
     ) -> journal_pb2.KeysReserved:
         holders = [
-            self.table.reserve(reservation) for reservation in message.reservations
+            self.local_reservations.reserve(reservation)
+            for reservation in message.reservations
         ]
         return journal_pb2.KeysReserved(holders=holders)
 
--- a/src/pepperstep/requests/journal.py
+++ b/src/pepperstep/requests/journal.py
@@ -67,7 +67,7 @@
         self._is_single = is_single
         self._on_taken = on_taken
         self._links: dict[str, JournalLink] = {}
-        self._link_of: dict[str, JournalLink] = {}
+        self._link_by_request: dict[str, JournalLink] = {}
         self._generations = itertools.count(1)
         self._avoided_until: dict[str, float] = {}
         # Backup hosts for new runs, empty until chosen.
@@ -93,7 +93,7 @@
             self._release(run)
             return
         link = self._link_to(self._choose_backup(run))
-        self._link_of[run.id] = link
+        self._link_by_request[run.id] = link
         link.add(run)
 
     def back_up_elsewhere(self, prior: journal_pb2.Link, runs: list[Run]) -> None:
@@ -111,13 +111,13 @@
         if self._is_single:
             self._release(run)
             return
-        link = self._link_of.get(run.id)
+        link = self._link_by_request.get(run.id)
         if link is not None:
             link.mark_changed(run, is_urgent)
 
     def is_sent(self, run: Run) -> bool:
         """Whether another host may have a copy of the run."""
-        link = self._link_of.get(run.id)
+        link = self._link_by_request.get(run.id)
         is_open = link is not None and link.message.second_incarnation
         return bool(is_open or run.prior_links)
 
@@ -164,10 +164,10 @@
 
     def _remove(self, run: Run, remove: Callable[[JournalLink, Run], bool]) -> None:
         run.stop_backup()
-        link = self._link_of.get(run.id)
+        link = self._link_by_request.get(run.id)
         # The link may already replicate a newer run of the same request.
         if link is not None and remove(link, run):
-            del self._link_of[run.id]
+            del self._link_by_request[run.id]
 
     def _release(self, run: Run) -> None:
         run.acknowledge(len(run.tokens), run.outcome is not None, run.version)
@@ -227,8 +227,8 @@
         self._backup_hosts = []
         runs = link.runs
         for run in runs:
-            if self._link_of.get(run.id) is link:
-                del self._link_of[run.id]
+            if self._link_by_request.get(run.id) is link:
+                del self._link_by_request[run.id]
         if not link.message.second_incarnation:
             # The link never opened, so nothing was sent.
             self._nursery.start_soon(self._add_all_with_retry, runs)
--- a/src/pepperstep/requests/move_planning.py
+++ b/src/pepperstep/requests/move_planning.py
@@ -77,7 +77,7 @@
     name: str
     zone: str
     models: frozenset[ModelKey]
-    # Requests that it can take in now.
+    # Number of requests that it can accept now; may be negative under overload.
     free_slots: int
 
 
--- a/src/pepperstep/requests/mover.py
+++ b/src/pepperstep/requests/mover.py
@@ -200,9 +200,9 @@
         self._exports.clear()
         if not open_attempts:
             return
-        leavers = {each.upstream.name: each.upstream for each in open_attempts.values()}
+        leaving = {each.upstream.name: each.upstream for each in open_attempts.values()}
         moves = self._policy(
-            [self._describe_leaving(upstream) for upstream in leavers.values()],
+            [self._describe_leaving(upstream) for upstream in leaving.values()],
             [self._describe_request(each) for each in open_attempts.values()],
             [self._describe_target(upstream) for upstream in self.candidates()],
         )
@@ -242,14 +242,14 @@
             self._wake.set()
             return
         active.is_exporting = True
-        imported = ""
+        imported_attempt = ""
         try:
             with self._timers.move_on_after(self._seconds_left(active.upstream)):
                 await self._send_cache(active, target)
-                imported = active.attempt_id
+                imported_attempt = active.attempt_id
         except UpstreamFault as error:
             logging.info("moves: Export of %s failed: %s", active.attempt_id, error)
-        active.stop(Resumption(Cause.RECLAIM, target_name, imported))
+        active.stop(Resumption(Cause.RECLAIM, target_name, imported_attempt))
 
     async def _send_cache(self, active: ActiveAttempt, target: Upstream) -> None:
         started_at = self._timers.now()
@@ -268,16 +268,16 @@
         notice = self._first_notice(upstream)
         if notice is None:
             return self._settings.default_notice_seconds
-        left = notice.at - self._timers.wall() - self._settings.margin_seconds
-        return max(0.0, left)
+        seconds_left = notice.at - self._timers.wall() - self._settings.margin_seconds
+        return max(0.0, seconds_left)
 
     def _describe_leaving(self, upstream: Upstream) -> LeavingUpstream:
-        own_attempts = self.attempts.count_on(upstream.name)
+        local_attempts = self.attempts.count_on(upstream.name)
         # Other entry hosts export from the same upstream, so only a share is available.
-        own_share = own_attempts / max(own_attempts, upstream.load.running, 1)
+        local_share = local_attempts / max(local_attempts, upstream.load.running, 1)
         rate = self._rates.get(upstream.name)
         if rate is None:
-            rate = self._settings.bytes_per_second * own_share
+            rate = self._settings.bytes_per_second * local_share
         return LeavingUpstream(
             upstream.name,
             upstream.zone,
@@ -287,13 +287,13 @@
         )
 
     def _describe_target(self, upstream: Upstream) -> MoveTarget:
-        own_attempts = self.attempts.count_on(upstream.name)
+        local_attempts = self.attempts.count_on(upstream.name)
         reported = upstream.load.running + upstream.load.waiting
         return MoveTarget(
             upstream.name,
             upstream.zone,
             upstream.models,
-            upstream.slots - max(own_attempts, reported),
+            upstream.slots - max(local_attempts, reported),
         )
 
     def _describe_request(self, active: ActiveAttempt) -> MovingRequest:
--- a/src/pepperstep/requests/placing.py
+++ b/src/pepperstep/requests/placing.py
@@ -206,8 +206,8 @@
     def _isolation_candidates(self, run: Run, plan: AttemptPlan) -> list[Upstream]:
         """Return upstreams that a suspect may try, the least loaded first.
 
-        Zones in which this request has lost an upstream are avoided: a zone failure
-        must not look like a second upstream crash caused by the request.
+        Zones in which this request has lost an upstream are avoided if possible: a zone
+        failure must not look like a second upstream crash caused by the request.
         """
         usable = [u for u in self._moves.candidates() if _serves(u, run)]
         shared_upstreams = [u for u in usable if u.name in plan.shared_upstreams]
--- a/src/pepperstep/requests/reader.py
+++ b/src/pepperstep/requests/reader.py
@@ -72,7 +72,7 @@
         if run.request.workspace != workspace:
             raise _unknown_failure(run.id)
         run.start_requested.set()
-        run.readers += 1
+        run.reader_count += 1
         try:
             with self._timers.move_on_after(_WAIT_TIMEOUT_SECONDS):
                 while not _has_unread(run, position) and not run.is_lost:
@@ -84,7 +84,7 @@
             self._check_stall(run)
             return None
         finally:
-            run.readers -= 1
+            run.reader_count -= 1
             run.last_reader_left_at = self._timers.now()
 
     async def _read_remote(
--- a/src/pepperstep/requests/run.py
+++ b/src/pepperstep/requests/run.py
@@ -45,7 +45,7 @@
         # can.
         self.stalled_since: float | None = None
         # Number of current readers, and when the last one left (monotonic seconds).
-        self.readers = 0
+        self.reader_count = 0
         self.last_reader_left_at = 0.0
         # Set when a caller asks for the answer or the run is cancelled.
         self.start_requested = trio.Event()
@@ -135,7 +135,7 @@
             self.stalled_since = now
 
     def remove_prior_link(self, prior: journal_pb2.Link) -> None:
-        """Record that the replicated log has dropped the link `prior`."""
+        """Record that the backup host of `prior` can't take over the request."""
         self.prior_links.remove(prior)
         self._release()
 
--- a/src/pepperstep/requests/service.py
+++ b/src/pepperstep/requests/service.py
@@ -29,7 +29,7 @@
 from pepperstep.requests.takeovers import TakeoverQueries
 from pepperstep.routing import Router
 
-__all__ = ["RequestService", "EarlierRequest"]
+__all__ = ["EarlierRequest", "RequestService"]
 
 _OWNER_CHECK_INTERVAL_SECONDS = 0.25
 _RUN_CHECK_INTERVAL_SECONDS = 1.0
@@ -361,7 +361,7 @@
                 else:
                     self._prune(run, now - ended_at)
             self._backup_records.prune(self._outcome_seconds)
-            self._keys.table.prune()
+            self._keys.local_reservations.prune()
             await self._keys.refresh(self._keyed_requests())
 
     def _stop_unread(self, run: Run, now: float) -> None:
@@ -369,7 +369,7 @@
         # caller who retries.
         is_required_to_finish = run.is_dispatched and not run.request.is_repeatable
         is_unread = (
-            run.readers == 0 and now - run.last_reader_left_at > self._resume_grace
+            run.reader_count == 0 and now - run.last_reader_left_at > self._resume_grace
         )
         if is_unread and not is_required_to_finish:
             run.stop()
--- a/src/pepperstep/requests/suspects.py
+++ b/src/pepperstep/requests/suspects.py
@@ -144,7 +144,7 @@
     def report_loss(
         self, message: verdicts_pb2.ReportLoss, now: float
     ) -> verdicts_pb2.LossAnswer:
-        """Count a loss against a content, and block the content if it's one too many."""
+        """Count a loss against a content; block the content after enough of them."""
         verdict = self.active_verdict(message.content, now)
         if verdict is not None:
             return verdicts_pb2.LossAnswer(verdict=verdict)
--- a/tests/requests/test_takeover.py
+++ b/tests/requests/test_takeover.py
@@ -245,7 +245,7 @@
         request = hosts.request()
         earlier = await service.submit(request)
         await hosts.read(OWNER, request.id, limit=10)
-        link = service._journal._link_of[request.id].message
+        link = service._journal._link_by_request[request.id].message
         service._adopt_runs(link, [Run.from_record(earlier.to_record())])
         assert earlier.is_lost
         tokens, _ = await hosts.read(OWNER, request.id)
