--- a/src/pepperstep/requests/broadcast.py
+++ b/src/pepperstep/requests/broadcast.py
@@ -29,6 +29,7 @@
     item: T
     # Unix time at which the item expires.
     until: float
+    # Whether the item was created at this host.
     is_own: bool
     acknowledged_by: set[str] = field(default_factory=set)
 
--- a/src/pepperstep/requests/suspects.py
+++ b/src/pepperstep/requests/suspects.py
@@ -65,7 +65,8 @@
     losses: dict[str, float] = field(default_factory=dict)
     runs: dict[str, _GrantedRun] = field(default_factory=dict)
     # Losses that the content survived: a later run passed the position at which the
-    # upstream was lost. If there are any, the content runs isolated to its end.
+    # upstream was lost. If there are any, each run of the content stays isolated until
+    # it ends.
     survived_losses: dict[str, float] = field(default_factory=dict)
     # Losses that block the content; one more if another suspect shared the upstream of
     # one of them.
--- a/tests/moves/moving_hosts.py
+++ b/tests/moves/moving_hosts.py
@@ -1,4 +1,4 @@
-"""Entry hosts whose upstreams are reclaimed, lost or crashed."""
+"""Entry hosts whose upstreams are reclaimed, unreachable or crash."""
 
 import random
 from collections import Counter
@@ -12,12 +12,12 @@
 from pepperstep.requests.recovery import Recovery
 from tests.requests.entry_hosts import Hosts
 
-# Tokens of a prompt of the tests' usual length.
+# A prompt of about 525 tokens.
 PROMPT = "Compare the benefits of annuity {number}. " * 60
 
 
 class CountingRecorder(NullRecorder):
-    """Recorder that adds up what was computed again."""
+    """Recorder that sums recomputed tokens by cause."""
 
     def __init__(self) -> None:
         self.recomputed: Counter[RecomputeCause] = Counter()
@@ -28,7 +28,7 @@
 
 
 class MovingHosts(Hosts):
-    """Hosts with the parts that move requests and guard against crashes."""
+    """Entry hosts with request moves and, by default, the crash guard."""
 
     def __init__(
         self,
@@ -43,8 +43,10 @@
         self.recorder = CountingRecorder()
         self.recoveries: dict[str, Recovery] = {}
 
-    def extend(self, name: str, incarnation: int, peers: FakePeers, timers: FakeTimers):
-        """Return a view without leaving upstreams, and the parts for recovery."""
+    def service_options(
+        self, name: str, incarnation: int, peers: FakePeers, timers: FakeTimers
+    ):
+        """Return a view without leaving upstreams, and the recovery options."""
         recovery = self.recoveries[name] = Recovery.from_ports(
             name,
             incarnation,
@@ -71,35 +73,35 @@
         """Return an engine by name."""
         return self.upstreams.all[name]
 
-    def end(self, name: str) -> None:
-        """End an upstream without notice."""
+    def crash_upstream(self, name: str) -> None:
+        """Stop an upstream without notice."""
         upstream = self.upstreams.all[name]
         if isinstance(upstream, FakeEngine):
             upstream.die()
         upstream.is_alive = False
 
     def poison(self, text: str) -> None:
-        """Let prompts with this text end every engine that runs them."""
+        """Let prompts that contain `text` crash every engine that runs them."""
         for engine in self.upstreams.engines:
             engine.poison = text
 
     @property
-    def dead(self) -> list[str]:
-        """Names of the engines that have ended."""
+    def crashed_engines(self) -> list[str]:
+        """Names of the engines that have stopped."""
         return [e.name for e in self.upstreams.engines if not e.is_alive]
 
     def reclaim(self, names: list[str], seconds: float, at_host: str = "entry-0"):
-        """Give notice of some engines' hosts, which end in `seconds`."""
+        """Announce the end of some engines' hosts in `seconds`, and end them then."""
         at = self.all[at_host].timers.wall() + seconds
         notices = [
             TerminationNotice(f"n-{name}", at, host=f"host-of-{name}") for name in names
         ]
         self.recoveries[at_host].moves.add_notices(notices)
         for name in names:
-            self._nursery.start_soon(self._end, name, seconds)
+            self._nursery.start_soon(self._crash_later, name, seconds)
         return notices
 
-    async def _end(self, name: str, seconds: float) -> None:
+    async def _crash_later(self, name: str, seconds: float) -> None:
         await trio.sleep(seconds)
         self.engine(name).die()
 
@@ -110,7 +112,10 @@
     async def read_all(
         self, requests: dict[str, Request]
     ) -> dict[str, tuple[list[str], Outcome]]:
-        """Read the answers of requests, by id, at the given hosts."""
+        """Read the answers of requests concurrently, each at the host of its id.
+
+        Requests of a crashed host are read at another host.
+        """
         answers = {}
 
         async def read(host: str, request: Request) -> None:
@@ -123,8 +128,8 @@
                 nursery.start_soon(read, host, request)
         return answers
 
-    def check_whole(self, requests, answers) -> None:
-        """Assert that all answers are whole and their requests' own."""
+    def assert_complete(self, requests, answers) -> None:
+        """Assert that each request has its own complete answer."""
         for request in requests.values():
             tokens, outcome = answers[request.id]
             assert outcome.is_answered, outcome
--- a/tests/moves/test_guard.py
+++ b/tests/moves/test_guard.py
@@ -1,4 +1,8 @@
-"""The deciding host of a content, probes of upstreams, and what hosts tell."""
+"""Crash guard, upstream probes and broadcasts.
+
+A content is blocked after two crashes that it caused itself, but never for the failure
+of a zone, a host or the network, or for a reclaim.
+"""
 
 import random
 from dataclasses import replace
@@ -29,21 +33,21 @@
 REFUSED = verdicts_pb2.PERMISSION_REFUSED
 
 
-class Decider:
-    """Suspects with short ways to ask and tell."""
+class DecidingHost:
+    """A `SuspectTracker` with shorthands for its messages."""
 
     def __init__(self) -> None:
         self.gone: set[str] = set()
         self.suspects = SuspectTracker(lambda host, _: host in self.gone)
         self.now = 1000.0
 
-    def leave(self, host):
-        """Let a host be gone, and its runs be asked for some time ago."""
+    def fail_host(self, host):
+        """Declare a host gone, and let the grace period of its runs pass."""
         self.gone.add(host)
-        assert self.ask("r3", "c/1").permission == WAIT
+        assert self.admit("r3", "c/1").permission == WAIT
         self.now += 6
 
-    def ask(self, request, upstream, zone="z1", owner="entry-0", **values):
+    def admit(self, request, upstream, zone="z1", owner="entry-0", **values):
         message = verdicts_pb2.RunContent(
             content="c",
             request_id=request,
@@ -54,13 +58,15 @@
         )
         return self.suspects.admit(message, owner, self.now)
 
-    def lose(self, request, upstream, content="c", **values):
+    def report_loss(self, request, upstream, content="c", **values):
         message = verdicts_pb2.ReportLoss(
             content=content, request_id=request, upstream=upstream, **values
         )
         return self.suspects.report_loss(message, self.now)
 
-    def end(self, request, end=verdicts_pb2.RUN_END_OPEN, owner="entry-0", serial=0):
+    def record_end(
+        self, request, end=verdicts_pb2.RUN_END_OPEN, owner="entry-0", serial=0
+    ):
         ended = verdicts_pb2.EndedRun(
             content="c", request_id=request, end=end, serial=serial
         )
@@ -68,48 +74,50 @@
 
 
 @pytest.fixture
-def decider():
-    return Decider()
+def deciding_host():
+    return DecidingHost()
 
 
-def test_same_content_runs_on_two_upstreams_in_two_zones_at_most(decider):
-    assert decider.ask("r1", "a/1", "z1").permission == GRANTED
-    assert decider.ask("r2", "b/1", "z1").permission == SHARE
-    assert decider.ask("r2", "b/1", "z2").permission == GRANTED
-    third = decider.ask("r3", "c/1", "z3")
+def test_content_runs_on_at_most_two_upstreams_in_two_zones(deciding_host):
+    assert deciding_host.admit("r1", "a/1", "z1").permission == GRANTED
+    assert deciding_host.admit("r2", "b/1", "z1").permission == SHARE
+    assert deciding_host.admit("r2", "b/1", "z2").permission == GRANTED
+    third = deciding_host.admit("r3", "c/1", "z3")
     assert (third.permission, third.upstreams) == (SHARE, ["a/1", "b/1"])
-    assert decider.ask("r3", "b/1", "z2").permission == GRANTED
-    decider.end("r1", verdicts_pb2.RUN_END_ANSWERED)
-    assert decider.ask("r4", "c/1", "z3").permission == GRANTED
-
-
-def test_suspect_content_runs_once_at_a_time(decider):
-    decider.ask("r1", "a/1")
-    decider.ask("r2", "b/1", "z2")
-    assert decider.lose("r1", "a/1").is_counted
-    assert decider.ask("r1", "c/1").permission == WAIT
-    decider.end("r2")
-    answer = decider.ask("r1", "c/1")
+    assert deciding_host.admit("r3", "b/1", "z2").permission == GRANTED
+    deciding_host.record_end("r1", verdicts_pb2.RUN_END_ANSWERED)
+    assert deciding_host.admit("r4", "c/1", "z3").permission == GRANTED
+
+
+def test_suspect_content_runs_once_at_a_time(deciding_host):
+    deciding_host.admit("r1", "a/1")
+    deciding_host.admit("r2", "b/1", "z2")
+    assert deciding_host.report_loss("r1", "a/1").is_counted
+    assert deciding_host.admit("r1", "c/1").permission == WAIT
+    deciding_host.record_end("r2")
+    answer = deciding_host.admit("r1", "c/1")
     assert (answer.permission, answer.is_suspect) == (GRANTED, True)
-    assert decider.lose("r1", "c/1").verdict.upstreams == ["a/1", "c/1"]
-    assert decider.ask("r9", "d/1").permission == REFUSED
+    assert deciding_host.report_loss("r1", "c/1").verdict.upstreams == ["a/1", "c/1"]
+    assert deciding_host.admit("r9", "d/1").permission == REFUSED
 
 
 @pytest.mark.parametrize(
-    "free",
+    "remove_run",
     [
-        lambda d: d.leave("entry-1"),
+        lambda d: d.fail_host("entry-1"),
         lambda d: setattr(d, "now", d.now + 101),
-        lambda d: d.end("r1", owner="entry-1", serial=7),
+        lambda d: d.record_end("r1", owner="entry-1", serial=7),
     ],
 )
-def test_run_is_forgotten_when_its_owner_or_time_or_it_ends(decider, free):
-    decider.lose("r0", "a/1")
-    decider.ask("r1", "b/1", owner="entry-1", serial=7)
-    decider.end("r1", owner="entry-1", serial=6)
-    assert decider.ask("r2", "c/1").permission == WAIT
-    free(decider)
-    assert decider.ask("r2", "c/1").permission == GRANTED
+def test_run_is_removed_after_its_end_deadline_or_owner_failure(
+    deciding_host, remove_run
+):
+    deciding_host.report_loss("r0", "a/1")
+    deciding_host.admit("r1", "b/1", owner="entry-1", serial=7)
+    deciding_host.record_end("r1", owner="entry-1", serial=6)
+    assert deciding_host.admit("r2", "c/1").permission == WAIT
+    remove_run(deciding_host)
+    assert deciding_host.admit("r2", "c/1").permission == GRANTED
 
 
 @pytest.mark.parametrize(
@@ -117,72 +125,77 @@
     [
         ([{}, {}], True),
         ([{"live_peers": 2}, {"live_peers": 2}], True),
-        # Neighbours ended as well: the zone or host was lost.
+        # Neighbours ended too, so the zone or host failed.
         ([{}, {"dead_peers": ["x/1", "y/1"], "live_peers": 1}], False),
         ([{"dead_peers": ["x/1"]}, {}], False),
-        # The neighbour that ended is the content's own earlier loss.
+        # The neighbour that ended was lost earlier by the same content.
         ([{}, {"dead_peers": ["a0/1"]}], True),
-        # It ran beside another suspect, so a third loss decides.
+        # The run shared its upstream with another suspect, so a third loss decides.
         ([{}, {"is_shared": True}], False),
         ([{}, {"is_shared": True}, {}], True),
-        # Another host decided that it isn't enough.
+        # The loss is a copy from the deciding host, which didn't block the content.
         ([{}, {"is_decided": True}], False),
     ],
 )
-def test_second_loss_of_its_own_convicts(decider, losses, is_convicted):
-    answers = [decider.lose("r1", f"a{n}/1", **loss) for n, loss in enumerate(losses)]
+def test_second_loss_blocks_unless_it_has_another_cause(
+    deciding_host, losses, is_convicted
+):
+    answers = [
+        deciding_host.report_loss("r1", f"a{n}/1", **loss)
+        for n, loss in enumerate(losses)
+    ]
     assert answers[-1].HasField("verdict") == is_convicted
 
 
-def test_loss_of_the_same_upstream_counts_once(decider):
+def test_loss_of_the_same_upstream_counts_once(deciding_host):
     for request in ("r1", "r2", "r1"):
-        assert not decider.lose(request, "a/1").HasField("verdict")
+        assert not deciding_host.report_loss(request, "a/1").HasField("verdict")
 
 
-def test_verdict_or_reclaim_explains_the_losses_of_others(decider):
-    decider.lose("r1", "a/1", "bystander")
-    decider.lose("r2", "a/1")
-    assert decider.lose("r2", "b/1").HasField("verdict")
-    assert not decider.lose("r1", "c/1", "bystander").HasField("verdict")
-    decider.suspects.ignore_losses(["c/1"], decider.now)
-    assert not decider.lose("r1", "d/1", "bystander").HasField("verdict")
-    assert not decider.lose("r3", "b/1", "another").is_counted
+def test_verdict_or_reclaim_clears_losses_of_other_contents(deciding_host):
+    deciding_host.report_loss("r1", "a/1", "bystander")
+    deciding_host.report_loss("r2", "a/1")
+    assert deciding_host.report_loss("r2", "b/1").HasField("verdict")
+    assert not deciding_host.report_loss("r1", "c/1", "bystander").HasField("verdict")
+    deciding_host.suspects.ignore_losses(["c/1"], deciding_host.now)
+    assert not deciding_host.report_loss("r1", "d/1", "bystander").HasField("verdict")
+    assert not deciding_host.report_loss("r3", "b/1", "another").is_counted
 
 
-def test_host_that_decides_anew_learns_the_losses_from_the_run(decider):
-    answer = decider.ask("r1", "b/1", lost=["a/1"])
+def test_new_deciding_host_imports_losses_from_the_run(deciding_host):
+    answer = deciding_host.admit("r1", "b/1", lost=["a/1"])
     assert answer.is_suspect
-    assert decider.lose("r1", "b/1").HasField("verdict")
+    assert deciding_host.report_loss("r1", "b/1").HasField("verdict")
 
 
-def test_host_that_took_note_convicts_once_it_decides(decider):
-    decider.lose("r1", "a/1", is_decided=True)
-    assert decider.ask("r9", "c/1", is_decided=True).permission == GRANTED
-    decider.end("r9")
-    decider.lose("r2", "b/1", is_decided=True)
-    assert decider.ask("r3", "c/1").permission == REFUSED
+def test_replicated_losses_block_at_the_next_deciding_host(deciding_host):
+    deciding_host.report_loss("r1", "a/1", is_decided=True)
+    assert deciding_host.admit("r9", "c/1", is_decided=True).permission == GRANTED
+    deciding_host.record_end("r9")
+    deciding_host.report_loss("r2", "b/1", is_decided=True)
+    assert deciding_host.admit("r3", "c/1").permission == REFUSED
 
 
-def test_run_that_passed_its_loss_runs_apart_to_its_end(decider):
-    decider.lose("r1", "a/1")
-    decider.ask("r1", "b/1")
-    decider.end("r1", verdicts_pb2.RUN_END_PASSED)
-    assert decider.ask("r1", "b/1", lost=["a/1"]).is_strict
-    assert not decider.lose("r1", "b/1").HasField("verdict")
-    assert decider.lose("r1", "c/1").HasField("verdict")
+def test_run_that_survived_its_loss_stays_isolated(deciding_host):
+    deciding_host.report_loss("r1", "a/1")
+    deciding_host.admit("r1", "b/1")
+    deciding_host.record_end("r1", verdicts_pb2.RUN_END_PASSED)
+    assert deciding_host.admit("r1", "b/1", lost=["a/1"]).is_strict
+    assert not deciding_host.report_loss("r1", "b/1").HasField("verdict")
+    assert deciding_host.report_loss("r1", "c/1").HasField("verdict")
 
 
-def test_verdict_and_hold_end_in_time(decider):
-    decider.lose("r1", "a/1")
-    until = decider.lose("r1", "b/1").verdict.until
+def test_verdict_and_reservation_expire(deciding_host):
+    deciding_host.report_loss("r1", "a/1")
+    until = deciding_host.report_loss("r1", "b/1").verdict.until
     hold = verdicts_pb2.HoldUpstream(upstream="u/1", request_id="r1")
     other = verdicts_pb2.HoldUpstream(upstream="u/1", request_id="r2")
-    assert decider.suspects.reserve_upstream(hold, decider.now)
-    assert decider.suspects.reserve_upstream(hold, decider.now + 2)
-    assert not decider.suspects.reserve_upstream(other, decider.now + 4)
-    assert decider.suspects.reserve_upstream(other, decider.now + 6)
-    decider.now = until + 1
-    assert decider.ask("r1", "c/1").permission == GRANTED
+    assert deciding_host.suspects.reserve_upstream(hold, deciding_host.now)
+    assert deciding_host.suspects.reserve_upstream(hold, deciding_host.now + 2)
+    assert not deciding_host.suspects.reserve_upstream(other, deciding_host.now + 4)
+    assert deciding_host.suspects.reserve_upstream(other, deciding_host.now + 6)
+    deciding_host.now = until + 1
+    assert deciding_host.admit("r1", "c/1").permission == GRANTED
 
 
 @pytest.mark.parametrize(
@@ -195,7 +208,9 @@
         ({"kind": RequestKind.SERVICE, "body": b"x"}, False),
     ],
 )
-async def test_content_is_what_may_crash_an_upstream(autojump_clock, changes, is_same):
+async def test_content_hash_covers_what_may_crash_an_upstream(
+    autojump_clock, changes, is_same
+):
     async with MovingHosts.start(count=2, engines=1) as hosts:
         request = hosts.request()
     assert (
@@ -214,7 +229,7 @@
         ("host", Health.ENDED, 1, 0),
     ],
 )
-async def test_probe_tells_a_crash_from_other_faults(
+async def test_probe_distinguishes_a_crash_from_other_faults(
     autojump_clock, monkeypatch, fault, health, dead, live
 ):
     upstreams = FakeUpstreams([FakeEngine(f"e{n}", "z1", KEY) for n in range(3)])
@@ -244,7 +259,7 @@
     assert {(len(d.dead_peers), d.live_peers) for d in diagnoses} == {(dead, live)}
 
 
-async def test_probe_from_before_a_death_is_not_taken_for_its_result(autojump_clock):
+async def test_probe_before_a_crash_is_not_reused(autojump_clock):
     upstreams = FakeUpstreams([FakeEngine("e0", "z1", KEY)])
     probes = Probes(upstreams, upstreams, FakeTimers())
     upstream = upstreams.engines[0].upstream
@@ -257,7 +272,7 @@
     ("count", "loss", "has_origin_ended"),
     [(8, 0.5, False), (8, 0.5, True), (2, 0.8, False)],
 )
-async def test_item_reaches_all_hosts_through_losses(
+async def test_broadcast_reaches_all_hosts_despite_message_loss(
     autojump_clock, count, loss, has_origin_ended
 ):
     names = [f"entry-{number}" for number in range(count)]
@@ -300,7 +315,7 @@
     assert all(broadcasts[name].items() == ["c"] for name in names)
 
 
-async def test_view_hides_what_leaves(autojump_clock):
+async def test_view_hides_leaving_upstreams(autojump_clock):
     async with MovingHosts.start(count=2, engines=3) as hosts:
         moves = hosts.recoveries["entry-0"].moves
         at = hosts.wall() + 5
--- a/tests/moves/test_plan.py
+++ b/tests/moves/test_plan.py
@@ -1,4 +1,7 @@
-"""Plans of moves: each request is decided on once, within time and bandwidth."""
+"""Move plans decide each request once and respect deadlines and bandwidth.
+
+A plan that exports too much would lose the caches that don't arrive in time.
+"""
 
 import pytest
 from hypothesis import given, settings, strategies as st
@@ -76,7 +79,7 @@
     assert [(move.kind, move.reason) for move in moves] == [(kind, reason)]
 
 
-def test_what_saves_most_a_byte_is_exported_first():
+def test_exports_are_ordered_by_tokens_saved_per_byte():
     requests = [moving(0, cached_tokens={"t": 900}), moving(1), moving(2, tokens=3000)]
     moves = plan_moves([leaver(seconds=0.6)], requests, [target()])
     by_id = {move.request_id: move for move in moves}
@@ -85,14 +88,14 @@
     assert by_id["r0"].reason is MoveReason.NO_TIME_FOR_EXPORT
 
 
-def test_targets_share_the_requests_by_their_room_and_calm_zones_go_first():
+def test_requests_are_spread_by_free_slots_and_unaffected_zones_first():
     targets = [target("t1", room=2), target("t2", room=4), target("t3", "z1", 9)]
     moves = plan_moves([leaver()], [moving(n) for n in range(8)], targets)
     taken = [sum(move.target == t.name for move in moves) for t in targets]
     assert taken == [2, 4, 2]
 
 
-def test_plan_is_the_baseline_where_that_computes_less_again():
+def test_plan_is_the_baseline_if_that_recomputes_less():
     cached = moving(0, cached_tokens={"t1": 900})
     targets = [target("t1", room=1), target("t2", room=0)]
     moves = plan_moves([leaver(seconds=0.01)], [cached, moving(1)], targets)
--- a/tests/requests/entry_hosts.py
+++ b/tests/requests/entry_hosts.py
@@ -1,4 +1,4 @@
-"""Entry hosts in one process, for tests of requests."""
+"""Entry hosts in one process, for tests of request handling."""
 
 import random
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -37,7 +37,7 @@
 
 @dataclass
 class EntryHost:
-    """One entry host and what a test does to it."""
+    """One running entry host and the handles with which a test controls it."""
 
     host: Host
     timers: FakeTimers
@@ -48,18 +48,18 @@
 
 
 class HostCrashed(Exception):
-    """The host died before it answered a caller."""
+    """Raised if a host crashes before it answers a call."""
 
 
 class Directory(FakeDirectory):
-    """Directory in which a host that was gone comes back by a new life."""
+    """Directory in which a failed host can come back as a new incarnation."""
 
     def __init__(self, hosts: list[Host]):
         super().__init__(hosts)
         self.lives: dict[str, int] = {}
 
     def entry_hosts(self) -> list[Host]:
-        """Return the hosts whose present life is neither gone nor leaving."""
+        """Return the hosts whose current incarnation is neither gone nor leaving."""
         return [
             host
             for name, host in self.hosts.items()
@@ -69,9 +69,9 @@
 
 
 class Hosts:
-    """Entry hosts that share a network, a log and upstreams.
+    """Entry hosts that share a network, a replicated log and upstreams.
 
-    They cross-check all that callers read: one token at each position.
+    Every read checks that all readers see the same token at the same position.
     """
 
     def __init__(self, count: int = 3, engines: int = 3):
@@ -90,7 +90,7 @@
         self.upstreams.add(FakeService("quote-0", "quote-api", ZONES[0]))
         self.upstreams.add(FakeService("quote-1", "quote-api", ZONES[1]))
         self.directory = Directory(hosts)
-        self.seen: dict[tuple[str, int], str] = {}
+        self.token_at: dict[tuple[str, int], str] = {}
         self.all: dict[str, EntryHost] = {}
         self._nursery: trio.Nursery | None = None
         self._incarnation = 0
@@ -98,7 +98,7 @@
     @classmethod
     @asynccontextmanager
     async def start(cls, **options) -> AsyncIterator["Hosts"]:
-        """Run hosts until the block ends."""
+        """Run hosts until the context exits."""
         hosts = cls(**options)
         async with trio.open_nursery() as hosts._nursery:
             for name in hosts.directory.hosts:
@@ -107,7 +107,7 @@
             hosts._nursery.cancel_scope.cancel()
 
     async def start_host(self, name: str) -> None:
-        """Start a life of a host."""
+        """Start a new incarnation of a host."""
         self._incarnation += 1
         self.directory.lives[name] = self._incarnation
         await self._nursery.start(self._run_host, name, self._incarnation)
@@ -119,7 +119,7 @@
             agreement = FakeAgreement(name, self.log)
             identity = HostIdentity(name, incarnation)
             claims = Claims(lambda: identity, agreement, timers, lambda: 1000.0)
-            view, options = self.extend(name, incarnation, peers, timers)
+            view, options = self.service_options(name, incarnation, peers, timers)
             service = RequestService(
                 self.directory.hosts[name],
                 incarnation,
@@ -144,26 +144,28 @@
             )
             task_status.started()
 
-    def extend(self, name: str, incarnation: int, peers: FakePeers, timers: FakeTimers):
-        """Return the router's view and more options of a host's service."""
+    def service_options(
+        self, name: str, incarnation: int, peers: FakePeers, timers: FakeTimers
+    ):
+        """Return the router's view and further options of a host's service."""
         return self.upstreams, {}
 
     def crash(self, name: str) -> None:
-        """End a host's life without notice."""
+        """Stop a host without notice to the others."""
         self.network.detach(name)
         self.all.pop(name).scope.cancel()
 
     def declare_gone(self, name: str) -> None:
-        """Let all hosts know that a host's life has ended."""
+        """Report a host's current incarnation as gone to all hosts."""
         self.directory.gone[name] = self.directory.lives[name]
 
-    def lose_host(self, name: str) -> None:
-        """Crash a host, and let all others know."""
+    def fail_host(self, name: str) -> None:
+        """Crash a host and report it as gone to all others."""
         self.crash(name)
         self.declare_gone(name)
 
-    def second_of(self, request_id: str) -> str:
-        """Return the host that holds a request as second."""
+    def backup_of(self, request_id: str) -> str:
+        """Return the host that keeps the backup record of a request."""
         return next(
             name
             for name, entry in self.all.items()
@@ -181,7 +183,7 @@
     async def call(
         self, name: str, function: Callable[[RequestService], Awaitable]
     ) -> object:
-        """Return what a call at a host returns; raise `HostCrashed` if it dies."""
+        """Return the result of a call at a host; raise `HostCrashed` if it crashes."""
         if name not in self.all:
             raise HostCrashed
         entry = self.all[name]
@@ -210,7 +212,7 @@
         return results[0]
 
     def request(self, host: str = "entry-0", number: int = 0, **changes) -> Request:
-        """Return a request for the engines, to be submitted at `host`."""
+        """Return a request for the engines, with an id of `host`."""
         values = {
             "id": f"{host}.{number}",
             "workspace": "planners",
@@ -226,7 +228,7 @@
         return Request(**(values | changes))
 
     def quote(self, host: str = "entry-0", number: int = 0, **changes) -> Request:
-        """Return a request for the plain service that may run only once."""
+        """Return a non-repeatable request for the plain service."""
         body = changes.pop("body", f"quote {number}".encode())
         values = {
             "kind": RequestKind.SERVICE,
@@ -239,7 +241,7 @@
         return self.request(host, number, **(values | changes))
 
     def runs_of(self, request: Request) -> int:
-        """Return how often the plain services ran a request's body."""
+        """Return how often the plain services executed a request's body."""
         services = (each for each in self.upstreams.all.values())
         return sum(
             each.runs[request.body]
@@ -248,7 +250,7 @@
         )
 
     async def outcome_of(self, host: str, request: Request) -> Outcome:
-        """Submit a request and return how it ended, a refusal included."""
+        """Submit a request and return its outcome, also if it is refused."""
         try:
             submitted = await self.all[host].service.submit(request)
             return (await self.read(host, submitted.id))[1]
@@ -258,7 +260,7 @@
     async def read(
         self, host: str, request_id: str, position: int = 0, limit: int | None = None
     ) -> tuple[list[str], Outcome | None]:
-        """Read an answer at `host` to its end, or up to `limit` tokens."""
+        """Read an answer at `host` to its end, or until `limit` tokens."""
         tokens: list[str] = []
         outcome = await self.read_into(
             tokens, self.all[host].service, request_id, position, limit
@@ -273,22 +275,24 @@
         position: int,
         limit: int | None = None,
     ) -> Outcome | None:
-        """Append an answer's tokens from `position` on as they come."""
+        """Append an answer's tokens from `position` on as they arrive."""
         parts = service.read(request_id, "planners", position)
         try:
             async for part in parts:
                 assert part.position == position
-                self._check_seen(request_id, part.position, part.tokens)
+                self._check_consistency(request_id, part.position, part.tokens)
                 tokens += part.tokens
                 position += len(part.tokens)
-                is_enough = limit is not None and len(tokens) >= limit
-                if part.outcome is not None or is_enough:
+                is_limit_reached = limit is not None and len(tokens) >= limit
+                if part.outcome is not None or is_limit_reached:
                     return part.outcome
         finally:
             await parts.aclose()
-        raise AssertionError("The answer has no end.")
+        raise AssertionError("The stream ended without an outcome.")
 
-    def _check_seen(self, request_id: str, position: int, tokens: list[str]) -> None:
+    def _check_consistency(
+        self, request_id: str, position: int, tokens: list[str]
+    ) -> None:
         for offset, token in enumerate(tokens):
-            place = (request_id, position + offset)
-            assert self.seen.setdefault(place, token) == token, place
+            key = (request_id, position + offset)
+            assert self.token_at.setdefault(key, token) == token, key
--- a/tests/requests/test_answer_check.py
+++ b/tests/requests/test_answer_check.py
@@ -1,4 +1,8 @@
-"""Only whole answers of the attempt itself get through."""
+"""Damaged answers must not reach callers.
+
+Chunks may be repeated, be missing, arrive late from an earlier attempt, or belong to
+another request.
+"""
 
 from collections import Counter
 
@@ -12,7 +16,7 @@
 
 
 class Counts(NullRecorder):
-    """Counts the faults of chunks."""
+    """Recorder that counts faults of chunks."""
 
     def __init__(self):
         self.faults = Counter()
--- a/tests/requests/test_backup_records.py
+++ b/tests/requests/test_backup_records.py
@@ -1,4 +1,8 @@
-"""What a second host makes of late, doubled and foreign messages."""
+"""A backup host handles delayed, duplicate and unknown messages.
+
+Such messages must not roll back recorded tokens, revive ended links, or let two hosts
+own the same request.
+"""
 
 import contextlib
 
@@ -14,7 +18,7 @@
 from pepperstep.requests.links import LinkDecisions, reverse_link
 from pepperstep.requests.takeovers import TakeoverQueries
 
-LIFE = 7
+INCARNATION = 7
 REQUEST = {
     "id": "a.1",
     "workspace": "planners",
@@ -26,17 +30,17 @@
 _State = journal_pb2.JournalAck
 
 
-def link(generation: int = 1, life: int = LIFE, second: str = "b"):
+def link(generation: int = 1, incarnation: int = INCARNATION, second: str = "b"):
     return journal_pb2.Link(
         owner="a",
         incarnation=3,
         second=second,
         generation=generation,
-        second_incarnation=life,
+        second_incarnation=incarnation,
     )
 
 
-def record(sequence: int, text: str = "", priors=(), **options):
+def record_batch(sequence: int, text: str = "", priors=(), **options):
     state = journal_pb2.RequestRecord(
         request_id="a.1",
         epoch=1,
@@ -48,7 +52,7 @@
     return journal_pb2.JournalBatch(link=batch_link, sequence=sequence, records=[state])
 
 
-def step(sequence: int, position: int, text: str, attempt: int = 1):
+def checkpoint_batch(sequence: int, position: int, text: str, attempt: int = 1):
     state = journal_pb2.Checkpoint(
         request_id="a.1",
         position=position,
@@ -59,22 +63,22 @@
     return journal_pb2.JournalBatch(link=link(), sequence=sequence, checkpoints=[state])
 
 
-def make_held(log: FakeLog | None = None) -> BackupRecords:
+def make_backup_records(log: FakeLog | None = None) -> BackupRecords:
     log = log or FakeLog()
     log.register(LINK_MACHINE, LinkMachine())
     decisions = LinkDecisions(FakeAgreement("b", log))
-    taken = TakeoverQueries(None, FakeDirectory([]))
-    return BackupRecords(LIFE, FakeTimers(), decisions, taken)
+    takeovers = TakeoverQueries(None, FakeDirectory([]))
+    return BackupRecords(INCARNATION, FakeTimers(), decisions, takeovers)
 
 
-async def open_link(held: BackupRecords, **options) -> None:
+async def open_link(records: BackupRecords, **options) -> None:
     message = journal_pb2.OpenLink(link=link(**options))
-    await held.handle_open(message, "a")
+    await records.handle_open(message, "a")
 
 
-async def send(held: BackupRecords, batch) -> str:
+async def send(records: BackupRecords, batch) -> str:
     try:
-        ack = await held.handle_batch(batch, "a")
+        ack = await records.handle_batch(batch, "a")
     except Failure as failure:
         return failure.code
     return "missing" if ack.missing else _State.State.Name(ack.state)
@@ -83,108 +87,132 @@
 @pytest.mark.parametrize(
     ("batches", "answers", "tokens", "is_dispatched"),
     [
-        ([record(1), step(2, 0, "ab")], ["RECORDED"] * 2, "ab", True),
-        # A late whole record would roll tokens and dispatch back.
+        ([record_batch(1), checkpoint_batch(2, 0, "ab")], ["RECORDED"] * 2, "ab", True),
+        # A delayed full record would roll back the tokens and the dispatch.
         (
-            [record(1), step(3, 0, "ab"), record(2)],
+            [record_batch(1), checkpoint_batch(3, 0, "ab"), record_batch(2)],
             ["RECORDED", "RECORDED", Code.FENCED],
             "ab",
             True,
         ),
         (
-            [record(1), step(2, 0, "ab")] * 2,
+            [record_batch(1), checkpoint_batch(2, 0, "ab")] * 2,
             ["RECORDED"] * 2 + [Code.FENCED, "RECORDED"],
             "ab",
             True,
         ),
-        ([record(1, "ab"), step(2, 1, "bcd")], ["RECORDED"] * 2, "abcd", True),
-        ([record(1), step(2, 1, "b")], ["RECORDED", "missing"], "", False),
-        ([step(1, 0, "a"), record(2, "a")], ["missing", "RECORDED"], "a", False),
-        ([record(1, link=link(generation=2))], ["UNKNOWN"], None, None),
-        ([record(1, link=link(life=LIFE - 1))], ["UNKNOWN"], None, None),
+        (
+            [record_batch(1, "ab"), checkpoint_batch(2, 1, "bcd")],
+            ["RECORDED"] * 2,
+            "abcd",
+            True,
+        ),
+        (
+            [record_batch(1), checkpoint_batch(2, 1, "b")],
+            ["RECORDED", "missing"],
+            "",
+            False,
+        ),
+        (
+            [checkpoint_batch(1, 0, "a"), record_batch(2, "a")],
+            ["missing", "RECORDED"],
+            "a",
+            False,
+        ),
+        ([record_batch(1, link=link(generation=2))], ["UNKNOWN"], None, None),
+        (
+            [record_batch(1, link=link(incarnation=INCARNATION - 1))],
+            ["UNKNOWN"],
+            None,
+            None,
+        ),
     ],
 )
 async def test_batches(autojump_clock, batches, answers, tokens, is_dispatched):
-    held = make_held()
-    await open_link(held)
-    assert [await send(held, batch) for batch in batches] == answers
-    runs = await held.take_over(link())
+    records = make_backup_records()
+    await open_link(records)
+    assert [await send(records, batch) for batch in batches] == answers
+    runs = await records.take_over(link())
     found = [("".join(run.tokens), run.is_dispatched) for run in runs]
     assert found == ([] if tokens is None else [(tokens, is_dispatched)])
 
 
-async def test_ended_links_stay_ended(autojump_clock):
-    held = make_held()
-    await open_link(held)
-    await send(held, record(1))
-    assert len(await held.take_over(link())) == 1
-    assert await held.take_over(link()) == []
-    assert await send(held, record(2)) == "TAKEN"
+async def test_ended_links_are_not_revived(autojump_clock):
+    records = make_backup_records()
+    await open_link(records)
+    await send(records, record_batch(1))
+    assert len(await records.take_over(link())) == 1
+    assert await records.take_over(link()) == []
+    assert await send(records, record_batch(2)) == "TAKEN"
     with pytest.raises(Failure):
-        await open_link(held)
+        await open_link(records)
     forget = journal_pb2.ForgetLink(link=link(generation=2))
-    await held.handle_forget(forget, "a")
-    held.add_runs(link(generation=2), [])
-    assert held.links_to_take_over(lambda owner, life: True) == []
+    await records.handle_forget(forget, "a")
+    records.add_runs(link(generation=2), [])
+    assert records.links_to_take_over(lambda owner, incarnation: True) == []
 
 
-async def test_takeover_without_quorum_is_asked_for_again(autojump_clock):
+async def test_takeover_without_quorum_is_retried(autojump_clock):
     log = FakeLog()
-    held = make_held(log)
-    await open_link(held)
-    await send(held, record(1))
+    records = make_backup_records(log)
+    await open_link(records)
+    await send(records, record_batch(1))
     log.has_quorum = False
     with pytest.raises(Failure):
-        await held.take_over(link())
-    # It may have been granted, so that nothing may be recorded any more.
-    assert await send(held, record(2)) == Code.NOT_READY
-    assert held.links_to_take_over(lambda owner, life: False) == [link()]
+        await records.take_over(link())
+    # The takeover may have been granted, so nothing may be recorded any longer.
+    assert await send(records, record_batch(2)) == Code.NOT_READY
+    assert records.links_to_take_over(lambda owner, incarnation: False) == [link()]
     log.has_quorum = True
-    assert len(await held.take_over(link())) == 1
+    assert len(await records.take_over(link())) == 1
 
 
-@pytest.mark.parametrize("prior", ["dropped", "taken with it", "taken without it"])
-async def test_record_counts_unless_it_went_over_before(autojump_clock, prior):
-    held = make_held()
+@pytest.mark.parametrize(
+    "prior_state", ["dropped", "taken with it", "taken without it"]
+)
+async def test_record_is_owned_unless_taken_over_with_prior_link(
+    autojump_clock, prior_state
+):
+    records = make_backup_records()
     earlier, later = link(1), link(2)
     for generation in (1, 2):
-        await open_link(held, generation=generation)
-    if prior == "taken with it":
-        await send(held, record(1, "a"))
-    await send(held, record(1, "ab", [earlier], link=later))
-    taken = []
-    if prior != "dropped":
-        taken = await held.take_over(earlier)
-    assert len(taken) == (prior == "taken with it")
-    assert len(await held.take_over(later)) == (prior != "taken with it")
-    assert await held.take_over(earlier) == []
-
-
-async def test_links_that_wait_for_each_other_are_taken(autojump_clock):
-    held = make_held()
+        await open_link(records, generation=generation)
+    if prior_state == "taken with it":
+        await send(records, record_batch(1, "a"))
+    await send(records, record_batch(1, "ab", [earlier], link=later))
+    taken_runs = []
+    if prior_state != "dropped":
+        taken_runs = await records.take_over(earlier)
+    assert len(taken_runs) == (prior_state == "taken with it")
+    assert len(await records.take_over(later)) == (prior_state != "taken with it")
+    assert await records.take_over(earlier) == []
+
+
+async def test_links_that_depend_on_each_other_are_taken_over(autojump_clock):
+    records = make_backup_records()
     for generation, request_id, other in ((1, "a.1", "a.2"), (2, "a.2", "a.1")):
-        await open_link(held, generation=generation)
-        batch = record(1, link=link(generation))
+        await open_link(records, generation=generation)
+        batch = record_batch(1, link=link(generation))
         batch.records[0].request_id = request_id
-        moved = record(1, priors=[link(3 - generation)]).records[0]
+        moved = record_batch(1, priors=[link(3 - generation)]).records[0]
         moved.request_id = other
         batch.records.append(moved)
-        assert await send(held, batch) == "RECORDED"
+        assert await send(records, batch) == "RECORDED"
     runs = []
     async with trio.open_nursery() as nursery:
 
         async def take(generation: int) -> None:
-            while not held.has_taken_over(link(generation)):
+            while not records.has_taken_over(link(generation)):
                 with contextlib.suppress(Failure):
-                    runs.extend(await held.take_over(link(generation)))
+                    runs.extend(await records.take_over(link(generation)))
 
         nursery.start_soon(take, 1)
         nursery.start_soon(take, 2)
     assert len(runs) == 2
 
 
-def test_back_links_differ():
-    links = [link(), link(2), link(life=8), link(second="c")]
-    backs = {reverse_link(each).SerializeToString() for each in links}
-    assert len(backs) == len(links)
+def test_reverse_links_are_unique():
+    links = [link(), link(2), link(incarnation=8), link(second="c")]
+    reversed_links = {reverse_link(each).SerializeToString() for each in links}
+    assert len(reversed_links) == len(links)
     assert reverse_link(link()).owner == "b"
--- a/tests/requests/test_idempotency.py
+++ b/tests/requests/test_idempotency.py
@@ -1,4 +1,8 @@
-"""A repeat with the same key gets the first request's answer."""
+"""A retry with the same idempotency key gets the first request's answer.
+
+Without this, a retry at another host, or after a failure of the owner, would run the
+request a second time.
+"""
 
 import pytest
 import trio
@@ -10,52 +14,59 @@
 KEY = {"idempotency_key": "seats", "fingerprint": "f"}
 
 
-async def nothing(hosts):
+async def no_fault(hosts):
     return
 
 
-async def wait_for_end(hosts):
+async def wait_until_answered(hosts):
     await trio.sleep(3)
 
 
-async def lose_owner(hosts):
-    hosts.lose_host("entry-0")
+async def fail_owner(hosts):
+    hosts.fail_host("entry-0")
 
 
-async def lose_owner_after_end(hosts):
+async def fail_owner_after_answer(hosts):
     await trio.sleep(3)
-    hosts.lose_host("entry-0")
+    hosts.fail_host("entry-0")
 
 
-async def lose_most(hosts):
-    """Lose all hosts but owner and second, one at a time."""
-    second = hosts.second_of("entry-0.0")
-    for name in set(hosts.all) - {"entry-0", second}:
-        hosts.lose_host(name)
+async def fail_all_but_owner_and_backup(hosts):
+    """Fail the hosts one at a time, so that keys must be reserved again."""
+    backup = hosts.backup_of("entry-0.0")
+    for name in set(hosts.all) - {"entry-0", backup}:
+        hosts.fail_host(name)
         await trio.sleep(2)
 
 
 @pytest.mark.parametrize(
-    "between", [nothing, wait_for_end, lose_owner, lose_owner_after_end, lose_most]
+    "action",
+    [
+        no_fault,
+        wait_until_answered,
+        fail_owner,
+        fail_owner_after_answer,
+        fail_all_but_owner_and_backup,
+    ],
 )
-async def test_repeats_get_the_first_answers(autojump_clock, between):
+async def test_retry_gets_the_first_answer(autojump_clock, action):
     async with Hosts.start(count=6) as hosts:
         keys = [{"idempotency_key": f"seats-{n}", "fingerprint": "f"} for n in range(6)]
         firsts = [hosts.request(number=n, **key) for n, key in enumerate(keys)]
         for first in firsts:
             await hosts.all["entry-0"].service.submit(first)
         await trio.sleep(0.2)
-        await between(hosts)
+        await action(hosts)
         for number, first in enumerate(firsts):
             name = sorted(hosts.all)[number % len(hosts.all)]
-            repeat = hosts.request(name, 10 + number, **keys[number])
-            submitted = await hosts.all[name].service.submit(repeat)
+            retry = hosts.request(name, 10 + number, **keys[number])
+            submitted = await hosts.all[name].service.submit(retry)
             assert submitted.id == first.id
             tokens, outcome = await hosts.read(name, submitted.id)
             assert (tokens, outcome.is_answered) == (answer_of(first), True)
 
 
-async def test_concurrent_repeats_run_once(autojump_clock):
+async def test_concurrent_retries_run_once(autojump_clock):
     async with Hosts.start(count=5) as hosts:
         ids = []
 
@@ -72,40 +83,40 @@
 
 
 @pytest.mark.parametrize("change", [{"fingerprint": "g"}, {"workspace": "desks"}, {}])
-async def test_other_content_or_workspace(autojump_clock, change):
+async def test_key_with_other_content_or_workspace(autojump_clock, change):
     async with Hosts.start() as hosts:
         await hosts.all["entry-0"].service.submit(hosts.request(**KEY))
-        repeat = hosts.request("entry-1", 1, **(KEY | change))
+        retry = hosts.request("entry-1", 1, **(KEY | change))
         try:
-            submitted = await hosts.all["entry-1"].service.submit(repeat)
+            submitted = await hosts.all["entry-1"].service.submit(retry)
             found = submitted.id
         except Failure as failure:
             found = failure.code
-    expected = {"fingerprint": Code.IDEMPOTENCY_CONFLICT, "workspace": repeat.id}
+    expected = {"fingerprint": Code.IDEMPOTENCY_CONFLICT, "workspace": retry.id}
     assert found == expected.get("".join(change), "entry-0.0")
 
 
-async def test_repeat_of_what_failed_or_was_lost_runs_anew(autojump_clock):
+async def test_retry_of_failed_or_lost_request_runs_again(autojump_clock):
     async with Hosts.start(count=4) as hosts:
         first = hosts.request(**KEY)
         await hosts.all["entry-0"].service.submit(first)
         assert await hosts.all["entry-1"].service.cancel(first.id, "planners")
         _, outcome = await hosts.read("entry-2", first.id)
         assert outcome.code is Code.CANCELLED
-        second = hosts.request("entry-0", 1, **KEY)
-        await hosts.all["entry-0"].service.submit(second)
-        holder = hosts.second_of(second.id)
-        hosts.lose_host("entry-0")
-        hosts.lose_host(holder)
+        retry = hosts.request("entry-0", 1, **KEY)
+        await hosts.all["entry-0"].service.submit(retry)
+        backup = hosts.backup_of(retry.id)
+        hosts.fail_host("entry-0")
+        hosts.fail_host(backup)
         name = next(iter(hosts.all))
-        third = hosts.request(name, 2, **KEY)
-        assert (await hosts.all[name].service.submit(third)).id == third.id
-        tokens, _ = await hosts.read(name, third.id)
-        assert tokens == answer_of(third)
+        last_retry = hosts.request(name, 2, **KEY)
+        assert (await hosts.all[name].service.submit(last_retry)).id == last_retry.id
+        tokens, _ = await hosts.read(name, last_retry.id)
+        assert tokens == answer_of(last_retry)
 
 
 @pytest.mark.parametrize("host", ["entry-0", "entry-1"])
-async def test_answer_belongs_to_its_workspace(autojump_clock, host):
+async def test_answer_is_visible_in_its_workspace_only(autojump_clock, host):
     async with Hosts.start() as hosts:
         request = hosts.request()
         await hosts.all["entry-0"].service.submit(request)
@@ -121,7 +132,7 @@
     assert codes == [Code.UNKNOWN_REQUEST]
 
 
-async def test_work_for_a_vanished_caller_is_stopped(autojump_clock):
+async def test_request_without_readers_is_cancelled(autojump_clock):
     async with Hosts.start() as hosts:
         request = hosts.request(max_tokens=5000)
         run = await hosts.all["entry-0"].service.submit(request)
--- a/tests/requests/test_link.py
+++ b/tests/requests/test_link.py
@@ -1,4 +1,8 @@
-"""How an owner sends to its second, and what it takes as acknowledged."""
+"""An owner replicates its runs to a backup host in batches.
+
+Tokens may be released to readers only if the current backup host has acknowledged them
+and no earlier link can still be taken over.
+"""
 
 import trio
 
@@ -9,23 +13,23 @@
 from pepperstep.requests.run import Run
 
 
-class Second:
-    """Peer network that acknowledges batches, and keeps them."""
+class FakeBackup:
+    """Peer network with one backup host, which records and acknowledges batches."""
 
     def __init__(self):
         self.batches = []
-        self.answers = trio.Event()
-        self.answers.set()
+        self.answer_allowed = trio.Event()
+        self.answer_allowed.set()
 
     async def call(self, peer, message, timeout):
-        """Answer as a second does."""
+        """Answer as a backup host does."""
         if isinstance(message, journal_pb2.OpenLink):
             return journal_pb2.LinkOpened(second_incarnation=7)
         copy = journal_pb2.JournalBatch()
         copy.CopyFrom(message)
         self.batches.append(copy)
         await trio.sleep(0.001)
-        await self.answers.wait()
+        await self.answer_allowed.wait()
         return journal_pb2.JournalAck()
 
 
@@ -43,20 +47,20 @@
     )
 
 
-def make_link(second: Second) -> JournalLink:
+def make_link(backup: FakeBackup) -> JournalLink:
     message = journal_pb2.Link(owner="a", incarnation=3, second="b", generation=1)
-    return JournalLink(message, second, FakeTimers(), lambda link, is_taken: None)
+    return JournalLink(message, backup, FakeTimers(), lambda link, is_taken: None)
 
 
 async def test_tokens_share_batches(autojump_clock, nursery):
-    second = Second()
-    link = make_link(second)
+    backup = FakeBackup()
+    link = make_link(backup)
     runs = [make_run(number) for number in range(20)]
     nursery.start_soon(link.run)
     for run in runs:
         link.add(run)
     await trio.sleep(0.1)
-    sent = len(second.batches)
+    sent = len(backup.batches)
     for _ in range(100):
         for run in runs:
             run.tokens.append("seat")
@@ -64,61 +68,63 @@
         await trio.sleep(0.01)
     await trio.sleep(0.1)
     assert [run.released for run in runs] == [100] * 20
-    # A second of 2,000 chunks, in batches 16 ms apart.
-    assert len(second.batches) - sent <= 65
-    assert sum(len(batch.checkpoints) for batch in second.batches) <= 65 * 20
+    # 2,000 chunks in one second, in batches 16 ms apart.
+    assert len(backup.batches) - sent <= 65
+    assert sum(len(batch.checkpoints) for batch in backup.batches) <= 65 * 20
 
 
-async def test_large_records_go_in_several_batches(autojump_clock, nursery):
-    second = Second()
-    link = make_link(second)
+async def test_large_records_are_split_into_batches(autojump_clock, nursery):
+    backup = FakeBackup()
+    link = make_link(backup)
     runs = [make_run(number, "x" * 300_000) for number in range(10)]
     for run in runs:
         link.add(run)
     nursery.start_soon(link.run)
     await trio.sleep(1)
     assert all(run.is_recorded for run in runs)
-    assert max(batch.ByteSize() for batch in second.batches) < 900_000
+    assert max(batch.ByteSize() for batch in backup.batches) < 900_000
 
 
-async def test_acknowledgement_to_an_ended_link_does_not_count(autojump_clock, nursery):
-    second = Second()
-    link = make_link(second)
+async def test_late_acknowledgement_to_ended_link_releases_nothing(
+    autojump_clock, nursery
+):
+    backup = FakeBackup()
+    link = make_link(backup)
     run = make_run()
     run.tokens.append("seat")
     link.add(run)
-    second.answers = trio.Event()
+    backup.answer_allowed = trio.Event()
     nursery.start_soon(link.run)
     await trio.sleep(0.1)
     link.end(is_taken=False)
-    second.answers.set()
+    backup.answer_allowed.set()
     await trio.sleep(0.1)
     assert (run.released, run.is_recorded) == (0, False)
 
 
-async def test_second_forgets_what_was_given_up(autojump_clock, nursery):
-    second = Second()
-    link = make_link(second)
+async def test_forgotten_run_is_removed_at_backup(autojump_clock, nursery):
+    backup = FakeBackup()
+    link = make_link(backup)
     nursery.start_soon(link.run)
-    run, again = make_run(), make_run()
+    run, newer_run = make_run(), make_run()
     link.add(run)
     await trio.sleep(0.1)
-    assert not link.forget(again)
+    assert not link.forget(newer_run)
     assert link.forget(run)
     await trio.sleep(0.1)
-    link.add(again)
+    link.add(newer_run)
     assert not link.remove(run)
     await trio.sleep(0.1)
-    assert [list(batch.forgotten) for batch in second.batches] == [[], ["a.0"], []]
-    assert again.is_recorded
+    assert [list(batch.forgotten) for batch in backup.batches] == [[], ["a.0"], []]
+    assert newer_run.is_recorded
 
 
-async def test_nothing_is_released_before_earlier_links_are_dropped(autojump_clock):
+async def test_nothing_is_released_before_prior_links_are_dropped(autojump_clock):
     run = make_run()
-    prior = journal_pb2.Link(owner="a", second="b")
-    run.add_prior_link(prior, 0.0)
+    prior_link = journal_pb2.Link(owner="a", second="b")
+    run.add_prior_link(prior_link, 0.0)
     run.tokens.append("seat")
     run.acknowledge(1, False, run.version)
     assert (run.released, run.is_recorded, run.is_confirmed) == (0, True, False)
-    run.remove_prior_link(prior)
+    run.remove_prior_link(prior_link)
     assert (run.released, run.is_confirmed) == (1, True)
--- a/tests/requests/test_once.py
+++ b/tests/requests/test_once.py
@@ -1,4 +1,8 @@
-"""What isn't repeatable runs once at most, and each outcome is true."""
+"""Non-repeatable requests run at most once, and their outcomes are correct.
+
+A caller that is told NOT_RUN may send the request again, so this must never be said of
+a request that was executed.
+"""
 
 import pytest
 import trio
@@ -8,32 +12,32 @@
 from tests.requests.entry_hosts import Hosts
 
 ANSWERED = "answered"
-FIRST, OTHER = "entry-0", "entry-1"
+OWNER, OTHER = "entry-0", "entry-1"
 
 
-def say(outcome) -> str:
-    """Return what a caller learns of an outcome."""
+def result_of(outcome) -> str:
+    """Return "answered" or what the outcome says about the execution."""
     return ANSWERED if outcome.is_answered else outcome.execution
 
 
-async def nothing(hosts):
+async def no_fault(hosts):
     return
 
 
-async def lose_owner_running(hosts):
-    hosts.lose_host(FIRST)
+async def fail_owner(hosts):
+    hosts.fail_host(OWNER)
 
 
-async def lose_service_before(hosts):
+async def crash_one_service_before_run(hosts):
     hosts.upstreams.all["quote-0"].dies = "before"
 
 
-async def lose_service_during(hosts):
+async def crash_services_during_run(hosts):
     for name in ("quote-0", "quote-1"):
         hosts.upstreams.all[name].dies = "during"
 
 
-async def lose_all_services(hosts):
+async def crash_services_before_run(hosts):
     for name in ("quote-0", "quote-1"):
         hosts.upstreams.all[name].dies = "before"
 
@@ -46,63 +50,71 @@
     hosts.log.lost_replies = 1
 
 
-async def lose_second(hosts):
-    hosts.lose_host("entry-2")
+async def fail_one_host(hosts):
+    hosts.fail_host("entry-2")
 
 
-# A fault before the request, one while it runs, what the caller learns, what
-# its repeat learns at another host after that, and how often it ran in all.
+# A fault before the request, one while it runs, the result for the caller, the result
+# for its retry at another host, and the number of executions in total.
 CASES = [
-    (nothing, nothing, ANSWERED, ANSWERED, 1),
-    (lose_reply_of_claim, nothing, ANSWERED, ANSWERED, 1),
-    (lose_service_before, nothing, ANSWERED, ANSWERED, 1),
-    (nothing, lose_second, ANSWERED, ANSWERED, 1),
-    (lose_service_during, nothing, Execution.MAY_HAVE_RUN, Execution.MAY_HAVE_RUN, 1),
-    (nothing, lose_owner_running, None, Execution.MAY_HAVE_RUN, 1),
-    (lose_all_services, nothing, Execution.NOT_RUN, ANSWERED, 1),
-    (lose_quorum, nothing, Execution.NOT_RUN, ANSWERED, 1),
+    (no_fault, no_fault, ANSWERED, ANSWERED, 1),
+    (lose_reply_of_claim, no_fault, ANSWERED, ANSWERED, 1),
+    (crash_one_service_before_run, no_fault, ANSWERED, ANSWERED, 1),
+    (no_fault, fail_one_host, ANSWERED, ANSWERED, 1),
+    (
+        crash_services_during_run,
+        no_fault,
+        Execution.MAY_HAVE_RUN,
+        Execution.MAY_HAVE_RUN,
+        1,
+    ),
+    (no_fault, fail_owner, None, Execution.MAY_HAVE_RUN, 1),
+    (crash_services_before_run, no_fault, Execution.NOT_RUN, ANSWERED, 1),
+    (lose_quorum, no_fault, Execution.NOT_RUN, ANSWERED, 1),
 ]
 
 
 @pytest.mark.parametrize(
-    ("before", "during", "first", "repeat", "runs"),
+    ("before", "during", "expected_result", "expected_retry_result", "runs"),
     CASES,
     ids=[f"{before.__name__}-{during.__name__}" for before, during, *_ in CASES],
 )
-async def test_outcomes(autojump_clock, before, during, first, repeat, runs):
+async def test_outcomes_of_request_and_retry(
+    autojump_clock, before, during, expected_result, expected_retry_result, runs
+):
     async with Hosts.start() as hosts:
-        deadline = hosts.all[FIRST].timers.wall() + 5
-        quote = hosts.quote(FIRST, 0, deadline=deadline)
-        again = hosts.quote(OTHER, 0, id="entry-1.9", deadline=deadline + 20)
+        deadline = hosts.all[OWNER].timers.wall() + 5
+        quote = hosts.quote(OWNER, 0, deadline=deadline)
+        retry = hosts.quote(OTHER, 0, id="entry-1.9", deadline=deadline + 20)
         await before(hosts)
-        learned = []
+        results = []
 
         async def call() -> None:
-            learned.append(say(await hosts.outcome_of(FIRST, quote)))
+            results.append(result_of(await hosts.outcome_of(OWNER, quote)))
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(call)
-            # Less than the service's 0.05 s after acceptance and claim.
+            # The service takes 0.05 s after acceptance and claim.
             await trio.sleep(0.03)
             await during(hosts)
             await trio.sleep(10)
             nursery.cancel_scope.cancel()
-        assert learned == ([] if first is None else [first])
+        assert results == ([] if expected_result is None else [expected_result])
         hosts.log.has_quorum = True
         for name in ("quote-0", "quote-1"):
             hosts.upstreams.all[name].dies = ""
             hosts.upstreams.all[name].is_alive = True
-        assert say(await hosts.outcome_of(OTHER, again)) == repeat
+        assert result_of(await hosts.outcome_of(OTHER, retry)) == expected_retry_result
         assert hosts.runs_of(quote) == runs
 
 
-async def test_concurrent_repeats_run_once(autojump_clock):
+async def test_concurrent_retries_run_once(autojump_clock):
     async with Hosts.start() as hosts:
         outcomes = []
 
         async def call(name: str, number: int) -> None:
             quote = hosts.quote(name, 0, id=f"{name}.{number}")
-            outcomes.append(say(await hosts.outcome_of(name, quote)))
+            outcomes.append(result_of(await hosts.outcome_of(name, quote)))
 
         async with trio.open_nursery() as nursery:
             for number in range(3):
@@ -112,9 +124,9 @@
         assert hosts.runs_of(hosts.quote()) == 1
 
 
-async def test_other_content_with_the_key_is_refused(autojump_clock):
+async def test_key_with_other_content_is_refused(autojump_clock):
     async with Hosts.start() as hosts:
-        await hosts.outcome_of(FIRST, hosts.quote(FIRST))
+        await hosts.outcome_of(OWNER, hosts.quote(OWNER))
         other = hosts.quote(OTHER, 0, id="entry-1.9", body=b"another")
         outcome = await hosts.outcome_of(OTHER, other)
         assert outcome.code is Code.IDEMPOTENCY_CONFLICT
@@ -122,62 +134,63 @@
 
 
 @pytest.mark.parametrize("wait", [1, 15])
-async def test_nothing_is_sent_before_the_second_knows(autojump_clock, wait):
+async def test_nothing_is_sent_before_backup_records_dispatch(autojump_clock, wait):
     async with Hosts.start(count=3) as hosts:
         hosts.network.min_delay = hosts.network.max_delay = 0.005
-        quote = hosts.quote(FIRST)
+        quote = hosts.quote(OWNER)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(hosts.outcome_of, FIRST, quote)
+            nursery.start_soon(hosts.outcome_of, OWNER, quote)
             while not any(name == MACHINE_NAME for name, _ in hosts.log.entries):
                 await trio.sleep(0.0005)
-            # The claim is granted, and the dispatch isn't recorded yet.
-            hosts.network.isolate(FIRST)
+            # The claim is granted, but the dispatch isn't recorded yet.
+            hosts.network.isolate(OWNER)
             await trio.sleep(2)
             assert hosts.runs_of(quote) == 0
-            hosts.lose_host(FIRST)
+            hosts.fail_host(OWNER)
             nursery.cancel_scope.cancel()
         hosts.network.heal()
-        # The new owner runs it for the repeat, or frees the claim at last.
+        # The new owner runs the request for the retry, or eventually releases the
+        # claim.
         await trio.sleep(wait)
-        again = hosts.quote(OTHER, 0, id="entry-1.9")
-        assert say(await hosts.outcome_of(OTHER, again)) == ANSWERED
+        retry = hosts.quote(OTHER, 0, id="entry-1.9")
+        assert result_of(await hosts.outcome_of(OTHER, retry)) == ANSWERED
         assert hosts.runs_of(quote) == 1
 
 
 @pytest.mark.parametrize("is_answered", [True, False])
-async def test_request_that_was_taken_over_before_its_claim(
-    autojump_clock, is_answered
-):
-    """Another one with the key may have run since."""
+async def test_request_taken_over_before_its_claim(autojump_clock, is_answered):
+    """Another request with the same key may have run before the new owner claims."""
     async with Hosts.start(count=4) as hosts:
         hosts.log.has_quorum = False
-        quote = hosts.quote(FIRST)
+        quote = hosts.quote(OWNER)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(hosts.outcome_of, FIRST, quote)
+            nursery.start_soon(hosts.outcome_of, OWNER, quote)
             await trio.sleep(1)
             nursery.cancel_scope.cancel()
-        second = hosts.second_of(quote.id)
-        hosts.lose_host(FIRST)
+        backup = hosts.backup_of(quote.id)
+        hosts.fail_host(OWNER)
         hosts.log.has_quorum = True
         await trio.sleep(1)
-        assert hosts.owner_of(quote.id) == second
+        assert hosts.owner_of(quote.id) == backup
         for name in ("quote-0", "quote-1"):
             hosts.upstreams.all[name].seconds = 2
-        again = hosts.quote(OTHER, 0, id="entry-1.9")
+        retry = hosts.quote(OTHER, 0, id="entry-1.9")
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(hosts.outcome_of, OTHER, again)
+            nursery.start_soon(hosts.outcome_of, OTHER, retry)
             await trio.sleep(3 if is_answered else 1)
             _, outcome = await hosts.read(OTHER, quote.id)
-            assert say(outcome) == (ANSWERED if is_answered else Execution.NOT_RUN)
+            assert result_of(outcome) == (
+                ANSWERED if is_answered else Execution.NOT_RUN
+            )
         assert hosts.runs_of(quote) == 1
 
 
-async def test_answer_is_kept_for_the_repeat_of_a_vanished_caller(autojump_clock):
+async def test_answer_is_kept_for_retry_after_caller_left(autojump_clock):
     async with Hosts.start() as hosts:
         for name in ("quote-0", "quote-1"):
             hosts.upstreams.all[name].seconds = 20
-        await hosts.all[FIRST].service.submit(hosts.quote(FIRST))
+        await hosts.all[OWNER].service.submit(hosts.quote(OWNER))
         await trio.sleep(25)
-        again = hosts.quote(OTHER, 0, id="entry-1.9")
-        assert say(await hosts.outcome_of(OTHER, again)) == ANSWERED
-        assert hosts.runs_of(again) == 1
+        retry = hosts.quote(OTHER, 0, id="entry-1.9")
+        assert result_of(await hosts.outcome_of(OTHER, retry)) == ANSWERED
+        assert hosts.runs_of(retry) == 1
--- a/tests/requests/test_schedules.py
+++ b/tests/requests/test_schedules.py
@@ -1,4 +1,8 @@
-"""Generated faults at any moment; callers check what they get."""
+"""Generated schedules of faults; callers check the answers they get.
+
+Repeatable requests must get their complete answer, and non-repeatable requests must run
+at most once, whatever faults happen at whatever moment.
+"""
 
 import contextlib
 import itertools
@@ -18,23 +22,28 @@
 from tests.requests.entry_hosts import HostCrashed, Hosts
 
 HOSTS = 4
-# Seconds that a caller waits for something new before it goes elsewhere.
-PATIENCE = 6.0
-PLACES = st.integers(0, HOSTS - 1)
-KINDS = ("crash", "restart", "pause", "suspect", "cut", "isolate", "leave")
-KINDS += ("trouble", "engine", "quote", "quorum", "lost_reply")
-# What happens, to which hosts, for how long, and the time before the next step;
-# in tenths of a second.
+# A caller without new tokens for this time continues at another host.
+READ_TIMEOUT_SECONDS = 6.0
+HOST_INDEXES = st.integers(0, HOSTS - 1)
+FAULT_KINDS = ("crash", "restart", "pause", "suspect", "cut", "isolate", "leave")
+FAULT_KINDS += ("trouble", "engine", "quote", "quorum", "lost_reply")
+# A fault, the hosts it concerns, its duration, and the time until the next fault; times
+# are in tenths of a second.
 STEPS = st.tuples(
-    st.sampled_from(KINDS), PLACES, PLACES, st.integers(0, 40), st.integers(0, 12)
+    st.sampled_from(FAULT_KINDS),
+    HOST_INDEXES,
+    HOST_INDEXES,
+    st.integers(0, 40),
+    st.integers(0, 12),
 )
 
 
-# Schedules that failed once, and how.
-FOUND = [
-    # A request came to a link that its second had taken over just before.
+# Schedules that once failed, each with the fault it revealed.
+REGRESSIONS = [
+    # A request was added to a link that its backup host had just taken over.
     [("suspect", 1, 2, 15, 7), ("crash", 0, 0, 20, 8), ("isolate", 0, 3, 23, 9)],
-    # The same, and its next link went to the same second.
+    # A request was added to a link that its backup host had just taken over, and its
+    # next link went to the same backup host.
     [
         ("quote", 0, 2, 20, 9),
         ("quote", 1, 1, 26, 11),
@@ -46,7 +55,7 @@
         ("suspect", 1, 1, 10, 4),
         ("suspect", 0, 3, 24, 7),
     ],
-    # "Not run" was told while the new owner ran it for a repeat.
+    # NOT_RUN was reported while the new owner ran the request for a retry.
     [
         ("pause", 1, 3, 18, 2),
         ("suspect", 3, 3, 7, 8),
@@ -58,7 +67,7 @@
         ("quorum", 3, 0, 23, 0),
         ("quorum", 1, 3, 0, 0),
     ],
-    # The claim of an owner that lost its request stayed open.
+    # The claim of an owner whose request was taken over stayed open.
     [
         ("trouble", 1, 3, 37, 12),
         ("lost_reply", 3, 3, 25, 2),
@@ -73,7 +82,7 @@
         ("engine", 1, 3, 26, 6),
         ("cut", 0, 3, 34, 10),
     ],
-    # A request came back to its first owner, which still held the earlier run.
+    # A request was taken back by its first owner, which still had the earlier run.
     [
         ("cut", 3, 0, 4, 2),
         ("suspect", 1, 1, 17, 5),
@@ -88,16 +97,16 @@
 
 
 @dataclass
-class Faults:
-    """Carries out steps; each fault ends after a time."""
+class FaultInjector:
+    """Injects faults; each one ends after its duration."""
 
     hosts: Hosts
     nursery: trio.Nursery
 
-    async def take(self, kind, place, other, duration, gap) -> None:
+    async def inject(self, kind, host_index, other, duration, gap) -> None:
         names = list(self.hosts.directory.hosts)
         step = getattr(self, f"_{kind}")
-        self.nursery.start_soon(step, names[place], names[other], duration / 10)
+        self.nursery.start_soon(step, names[host_index], names[other], duration / 10)
         await trio.sleep(gap / 10)
 
     async def _crash(self, name, other, seconds) -> None:
@@ -109,9 +118,9 @@
             await self.hosts.start_host(name)
 
     async def _restart(self, name, other, seconds) -> None:
-        """Restart a host faster than the others notice."""
+        """Restart a host before the others notice."""
         if name in self.hosts.all and len(self.hosts.all) > 2:
-            self.hosts.lose_host(name)
+            self.hosts.fail_host(name)
             await self.hosts.start_host(name)
 
     async def _pause(self, name, other, seconds) -> None:
@@ -122,11 +131,11 @@
             timers.resume()
 
     async def _suspect(self, name, other, seconds) -> None:
-        life = self.hosts.directory.lives[name]
-        self.hosts.directory.gone[name] = life
+        incarnation = self.hosts.directory.lives[name]
+        self.hosts.directory.gone[name] = incarnation
         await trio.sleep(seconds)
-        if name in self.hosts.all and self.hosts.directory.lives[name] == life:
-            self.hosts.directory.gone[name] = life - 1
+        if name in self.hosts.all and self.hosts.directory.lives[name] == incarnation:
+            self.hosts.directory.gone[name] = incarnation - 1
 
     async def _cut(self, name, other, seconds) -> None:
         self.hosts.network.cut(name, other)
@@ -143,13 +152,13 @@
     async def _leave(self, name, other, seconds) -> None:
         if name not in self.hosts.all or len(self.hosts.all) <= 2:
             return
-        life = self.hosts.directory.lives[name]
+        incarnation = self.hosts.directory.lives[name]
         self.hosts.directory.leaving.add(name)
         with trio.move_on_after(seconds):
             with contextlib.suppress(HostCrashed):
                 await self.hosts.call(name, lambda service: service.hand_over())
-        if self.hosts.directory.lives[name] == life and name in self.hosts.all:
-            self.hosts.lose_host(name)
+        if self.hosts.directory.lives[name] == incarnation and name in self.hosts.all:
+            self.hosts.fail_host(name)
             await self.hosts.start_host(name)
         self.hosts.directory.leaving.discard(name)
 
@@ -181,12 +190,12 @@
 
 
 class CountingService(FakeService):
-    """A plain service that counts runs by request id too."""
+    """Plain service that also counts executions by request id."""
 
     runs_by_id: Counter[str] = Counter()
 
     async def call(self, request: Request):
-        """Run the call."""
+        """Execute the call."""
         before = self.runs[request.body]
         try:
             return await super().call(request)
@@ -195,7 +204,7 @@
 
 
 class Caller:
-    """Sends a request until it has its end, as a patient client would."""
+    """Client that retries a request until it has a final outcome."""
 
     def __init__(self, hosts: Hosts, request: Request, number: int):
         self.hosts = hosts
@@ -208,16 +217,16 @@
         self.outcome: Outcome | None = None
 
     async def run(self) -> None:
-        """Return once there is an answer, or nothing else can come."""
+        """Return once there is an answer, or no other outcome can follow."""
         for number in itertools.count():
             name = self.rng.choice(sorted(self.hosts.all))
             try:
-                with trio.move_on_after(PATIENCE):
+                with trio.move_on_after(READ_TIMEOUT_SECONDS):
                     await self._try(name, number)
             except HostCrashed:
                 continue
             except Failure as failure:
-                self._note(
+                self._handle_outcome(
                     Outcome(code=failure.code, execution=failure.execution), number
                 )
             if self.outcome is not None:
@@ -237,9 +246,9 @@
             position=len(self.tokens),
         )
         outcome = await self.hosts.call(name, lambda service: read(service))
-        self._note(outcome, number)
+        self._handle_outcome(outcome, number)
 
-    def _note(self, outcome: Outcome, number: int) -> None:
+    def _handle_outcome(self, outcome: Outcome, number: int) -> None:
         is_final = outcome.is_answered or (
             outcome.execution is Execution.MAY_HAVE_RUN
             and not self.request.is_repeatable
@@ -249,17 +258,17 @@
             self.outcome = outcome
             return
         if outcome.execution is Execution.NOT_RUN and not self.request.is_repeatable:
-            told = self.request_id or self.sent_id
-            assert CountingService.runs_by_id[told] == 0, outcome
+            reported_id = self.request_id or self.sent_id
+            assert CountingService.runs_by_id[reported_id] == 0, outcome
         if self.request_id and outcome.code is Code.PEER_UNREACHABLE:
             return
-        # Lost, refused or failed: a new request with the same key.
+        # Lost, refused or failed: send a new request with the same key.
         self.request_id = ""
         self.tokens.clear()
 
 
 async def run_schedule(steps) -> None:
-    """Run steps while callers send, then let all faults end."""
+    """Inject faults while callers send requests, then let all faults end."""
     CountingService.runs_by_id = Counter()
     async with Hosts.start(count=HOSTS) as hosts:
         for name in ("quote-0", "quote-1"):
@@ -276,20 +285,20 @@
         with trio.fail_after(200):
             async with trio.open_nursery() as nursery:
                 for number, caller in enumerate(callers):
-                    nursery.start_soon(_run_later, caller, 0.6 * (number // 2))
-                faults = Faults(hosts, nursery)
+                    nursery.start_soon(_run_after, caller, 0.6 * (number // 2))
+                faults = FaultInjector(hosts, nursery)
                 for step in steps:
-                    await faults.take(*step)
-        check(hosts, callers)
+                    await faults.inject(*step)
+        assert_promises(hosts, callers)
 
 
-async def _run_later(caller: Caller, seconds: float) -> None:
+async def _run_after(caller: Caller, seconds: float) -> None:
     await trio.sleep(seconds)
     await caller.run()
 
 
-def check(hosts: Hosts, callers: list[Caller]) -> None:
-    """Assert that each caller has its own whole answer, and nothing ran twice."""
+def assert_promises(hosts: Hosts, callers: list[Caller]) -> None:
+    """Assert that each caller has its complete answer and nothing ran twice."""
     for caller in callers:
         request = caller.request
         if request.is_repeatable:
@@ -306,7 +315,7 @@
 
 @pytest.fixture
 def unlike_tokens(monkeypatch):
-    """Let each attempt generate other tokens at a position."""
+    """Let each attempt generate different tokens at the same position."""
     numbers = itertools.count()
     monkeypatch.setattr(
         fake_upstreams,
@@ -326,6 +335,6 @@
     trio.run(run_schedule, steps, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-@pytest.mark.parametrize("steps", [[], *FOUND], ids=range(len(FOUND) + 1))
-def test_schedule_that_failed_once(unlike_tokens, steps):
+@pytest.mark.parametrize("steps", [[], *REGRESSIONS], ids=range(len(REGRESSIONS) + 1))
+def test_regressions(unlike_tokens, steps):
     trio.run(run_schedule, steps, clock=trio.testing.MockClock(autojump_threshold=0))
--- a/tests/requests/test_takeover.py
+++ b/tests/requests/test_takeover.py
@@ -1,4 +1,7 @@
-"""Requests go on when the host that owns them, or its second, fails."""
+"""Requests survive the failure of their owner or of its backup host.
+
+A takeover must not lose, repeat or change tokens that the caller has already read.
+"""
 
 import pytest
 import trio
@@ -11,55 +14,55 @@
 OWNER = "entry-0"
 
 
-async def lose_owner(hosts, second):
-    hosts.lose_host(OWNER)
+async def fail_owner(hosts, backup):
+    hosts.fail_host(OWNER)
 
 
-async def lose_owner_then_new_owner(hosts, second):
-    hosts.lose_host(OWNER)
+async def fail_owner_then_new_owner(hosts, backup):
+    hosts.fail_host(OWNER)
     await trio.sleep(1)
-    hosts.lose_host(hosts.owner_of(f"{OWNER}.0"))
+    hosts.fail_host(hosts.owner_of(f"{OWNER}.0"))
 
 
-async def restart_owner(hosts, second):
-    hosts.lose_host(OWNER)
+async def restart_owner(hosts, backup):
+    hosts.fail_host(OWNER)
     await hosts.start_host(OWNER)
 
 
-async def lose_second(hosts, second):
-    hosts.lose_host(second)
+async def fail_backup(hosts, backup):
+    hosts.fail_host(backup)
 
 
-async def restart_second_unnoticed(hosts, second):
-    hosts.crash(second)
-    await hosts.start_host(second)
+async def restart_backup_unnoticed(hosts, backup):
+    hosts.crash(backup)
+    await hosts.start_host(backup)
 
 
-async def lose_second_then_owner(hosts, second):
-    hosts.lose_host(second)
+async def fail_backup_then_owner(hosts, backup):
+    hosts.fail_host(backup)
     await trio.sleep(1)
-    hosts.lose_host(OWNER)
+    hosts.fail_host(OWNER)
 
 
-async def second_leaves(hosts, second):
-    hosts.directory.leaving.add(second)
+async def backup_leaves(hosts, backup):
+    hosts.directory.leaving.add(backup)
     await trio.sleep(1)
-    hosts.lose_host(second)
+    hosts.fail_host(backup)
 
 
-async def owner_leaves(hosts, second):
+async def owner_leaves(hosts, backup):
     hosts.directory.leaving.add(OWNER)
     await hosts.all[OWNER].service.hand_over()
-    hosts.lose_host(OWNER)
+    hosts.fail_host(OWNER)
 
 
-async def owner_is_cut_off(hosts, second):
+async def owner_is_partitioned(hosts, backup):
     hosts.network.isolate(OWNER)
     hosts.log.cut_hosts.add(OWNER)
     hosts.declare_gone(OWNER)
 
 
-async def owner_pauses(hosts, second):
+async def owner_pauses(hosts, backup):
     timers = hosts.all[OWNER].timers
     timers.pause()
     hosts.declare_gone(OWNER)
@@ -67,34 +70,34 @@
     timers.resume()
 
 
-async def owner_is_only_suspected(hosts, second):
+async def owner_is_only_suspected(hosts, backup):
     hosts.declare_gone(OWNER)
     await trio.sleep(1)
 
 
-async def cut_to_second(hosts, second):
-    hosts.network.cut(OWNER, second)
+async def cut_owner_to_backup(hosts, backup):
+    hosts.network.cut(OWNER, backup)
 
 
-async def cut_to_owner(hosts, second):
-    hosts.network.cut(second, OWNER)
+async def cut_backup_to_owner(hosts, backup):
+    hosts.network.cut(backup, OWNER)
 
 
-async def bad_network(hosts, second):
+async def unreliable_network(hosts, backup):
     hosts.network.loss = 0.1
     hosts.network.duplication = 0.3
     hosts.network.max_delay = 0.15
 
 
-async def lose_owner_without_quorum(hosts, second):
+async def fail_owner_without_quorum(hosts, backup):
     hosts.log.has_quorum = False
-    hosts.lose_host(OWNER)
+    hosts.fail_host(OWNER)
     await trio.sleep(3)
     hosts.log.has_quorum = True
 
 
-async def cut_and_suspected_without_quorum(hosts, second):
-    """The second waits for its takeover, the owner for its drop."""
+async def suspect_owner_without_quorum(hosts, backup):
+    """Leave the backup's takeover and the owner's drop undecided at first."""
     hosts.log.has_quorum = False
     hosts.declare_gone(OWNER)
     await trio.sleep(3)
@@ -102,82 +105,82 @@
     hosts.log.has_quorum = True
 
 
-async def lose_reply_of_takeover(hosts, second):
+async def lose_reply_of_takeover(hosts, backup):
     hosts.log.lost_replies = 1
-    hosts.lose_host(OWNER)
+    hosts.fail_host(OWNER)
 
 
-async def lose_reply_of_drop(hosts, second):
+async def lose_reply_of_drop(hosts, backup):
     hosts.log.lost_replies = 1
-    hosts.lose_host(second)
+    hosts.fail_host(backup)
 
 
-async def new_owner_dies_before_it_has_a_second(hosts, second):
-    """The owner was only suspected and has the one copy that is left."""
-    third = next(name for name in hosts.all if name not in (OWNER, second))
-    hosts.network.cut(second, third)
+async def new_owner_fails_before_it_has_a_backup(hosts, backup):
+    """Leave the only copy with the previous owner, which was only suspected."""
+    third = next(name for name in hosts.all if name not in (OWNER, backup))
+    hosts.network.cut(backup, third)
     hosts.declare_gone(OWNER)
     await trio.sleep(0.3)
-    assert hosts.owner_of(f"{OWNER}.0") == second
+    assert hosts.owner_of(f"{OWNER}.0") == backup
     del hosts.directory.gone[OWNER]
-    hosts.lose_host(second)
+    hosts.fail_host(backup)
 
 
-async def engine_dies(hosts, second):
+async def engine_crashes(hosts, backup):
     run = hosts.all[OWNER].service._owned[f"{OWNER}.0"]
     hosts.upstreams.all[run.upstream].die()
 
 
-async def chunks_come_twice(hosts, second):
+async def duplicate_chunks(hosts, backup):
     for engine in hosts.upstreams.engines:
         engine.is_doubled = True
 
 
-def reader_in(hosts) -> str:
-    """Return a host to read on at, rather one that reaches the owner."""
+def choose_reader(hosts) -> str:
+    """Return a host to continue reading at, preferably one that reaches the owner."""
     cut = hosts.network.is_cut
     others = [name for name in hosts.all if name != OWNER]
     return min(others, key=lambda name: cut(name, OWNER) or cut(OWNER, name))
 
 
 FAULTS = [
-    (lose_owner, 3),
-    (lose_owner_then_new_owner, 4),
+    (fail_owner, 3),
+    (fail_owner_then_new_owner, 4),
     (restart_owner, 3),
-    (lose_second, 3),
-    (restart_second_unnoticed, 3),
-    (lose_second_then_owner, 4),
-    (second_leaves, 3),
+    (fail_backup, 3),
+    (restart_backup_unnoticed, 3),
+    (fail_backup_then_owner, 4),
+    (backup_leaves, 3),
     (owner_leaves, 3),
-    (owner_is_cut_off, 3),
+    (owner_is_partitioned, 3),
     (owner_pauses, 3),
     (owner_is_only_suspected, 3),
-    (cut_to_second, 3),
-    (cut_to_owner, 3),
-    (bad_network, 3),
-    (lose_owner_without_quorum, 3),
-    (cut_and_suspected_without_quorum, 3),
+    (cut_owner_to_backup, 3),
+    (cut_backup_to_owner, 3),
+    (unreliable_network, 3),
+    (fail_owner_without_quorum, 3),
+    (suspect_owner_without_quorum, 3),
     (lose_reply_of_takeover, 3),
     (lose_reply_of_drop, 3),
-    (new_owner_dies_before_it_has_a_second, 3),
-    (engine_dies, 3),
-    (chunks_come_twice, 3),
+    (new_owner_fails_before_it_has_a_backup, 3),
+    (engine_crashes, 3),
+    (duplicate_chunks, 3),
 ]
 
 
 @pytest.mark.parametrize(
     ("fault", "count"), FAULTS, ids=[fault.__name__ for fault, _ in FAULTS]
 )
-async def test_answer_is_whole_after(autojump_clock, fault, count):
+async def test_answer_is_complete_after_fault(autojump_clock, fault, count):
     async with Hosts.start(count=count) as hosts:
         request = hosts.request(max_tokens=200)
         await hosts.all[OWNER].service.submit(request)
         before, _ = await hosts.read(OWNER, request.id, limit=10)
-        await fault(hosts, hosts.second_of(request.id))
-        reader = reader_in(hosts)
+        await fault(hosts, hosts.backup_of(request.id))
+        reader = choose_reader(hosts)
         with trio.fail_after(60):
             after, outcome = await hosts.read(reader, request.id, len(before))
-        # A host that has lost the request says the same, or nothing more.
+        # A host that has lost the request must return the same tokens.
         if OWNER in hosts.all and not hosts.network.is_cut(OWNER, "entry-1"):
             again, _ = await hosts.read(OWNER, request.id)
             assert again == before + after
@@ -185,13 +188,13 @@
     assert outcome.is_answered
 
 
-async def test_both_copies_lost_is_said(autojump_clock):
+async def test_loss_of_both_copies_is_reported(autojump_clock):
     async with Hosts.start() as hosts:
         request = hosts.request()
         await hosts.all[OWNER].service.submit(request)
-        second = hosts.second_of(request.id)
-        hosts.lose_host(OWNER)
-        hosts.lose_host(second)
+        backup = hosts.backup_of(request.id)
+        hosts.fail_host(OWNER)
+        hosts.fail_host(backup)
         reader = next(iter(hosts.all))
         with pytest.raises(Failure) as failed, trio.fail_after(4):
             await hosts.read(reader, request.id)
@@ -199,7 +202,7 @@
 
 
 @pytest.mark.parametrize("fault", ["no second", "no acknowledgement"])
-async def test_refused_without_a_second(autojump_clock, fault):
+async def test_request_is_refused_without_backup(autojump_clock, fault):
     async with Hosts.start(count=2) as hosts:
         if fault == "no second":
             hosts.network.isolate("entry-1")
@@ -211,8 +214,8 @@
         with pytest.raises(Failure) as failed, trio.fail_after(4):
             await hosts.all[OWNER].service.submit(request)
         hosts.network.heal()
-        # The second may have the record, and mustn't run it.
-        hosts.lose_host(OWNER)
+        # The backup host may have the record but must not run the request.
+        hosts.fail_host(OWNER)
         await trio.sleep(20)
         attempts = [
             each for engine in hosts.upstreams.engines for each in engine.attempts
@@ -223,8 +226,8 @@
     assert failed.value.retry_after is not None
 
 
-async def test_requests_for_a_second_that_has_taken_over(autojump_clock):
-    """It has what was recorded before, and nothing of what comes after."""
+async def test_requests_after_backup_has_taken_over(autojump_clock):
+    """The backup host owns earlier requests of the link, but none that come later."""
     async with Hosts.start() as hosts:
         requests = [hosts.request(number=number) for number in range(8)]
         for request in requests[:4]:
@@ -239,7 +242,7 @@
             assert tokens == answer_of(request)
 
 
-async def test_request_that_comes_back_ends_its_earlier_run(autojump_clock):
+async def test_request_taken_back_ends_its_earlier_run(autojump_clock):
     async with Hosts.start() as hosts:
         service = hosts.all[OWNER].service
         request = hosts.request()
