--- a/src/pepperstep/requests/mover.py
+++ b/src/pepperstep/requests/mover.py
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TerminationNotice:
-    """A cloud host, or one upstream, that ends at Unix time `at`."""
+    """Notice that a cloud host, or one upstream, ends at Unix time `at`."""
 
     id: str
     at: float
--- a/tests/moves/test_guard.py
+++ b/tests/moves/test_guard.py
@@ -121,7 +121,7 @@
 
 
 @pytest.mark.parametrize(
-    ("losses", "is_convicted"),
+    ("losses", "is_blocked"),
     [
         ([{}, {}], True),
         ([{"live_peers": 2}, {"live_peers": 2}], True),
@@ -138,13 +138,13 @@
     ],
 )
 def test_second_loss_blocks_unless_it_has_another_cause(
-    deciding_host, losses, is_convicted
+    deciding_host, losses, is_blocked
 ):
     answers = [
         deciding_host.report_loss("r1", f"a{n}/1", **loss)
         for n, loss in enumerate(losses)
     ]
-    assert answers[-1].HasField("verdict") == is_convicted
+    assert answers[-1].HasField("verdict") == is_blocked
 
 
 def test_loss_of_the_same_upstream_counts_once(deciding_host):
--- a/tests/requests/entry_hosts.py
+++ b/tests/requests/entry_hosts.py
@@ -56,14 +56,14 @@
 
     def __init__(self, hosts: list[Host]):
         super().__init__(hosts)
-        self.lives: dict[str, int] = {}
+        self.incarnations: dict[str, int] = {}
 
     def entry_hosts(self) -> list[Host]:
         """Return the hosts whose current incarnation is neither gone nor leaving."""
         return [
             host
             for name, host in self.hosts.items()
-            if not self.is_gone(name, self.lives.get(name, 0))
+            if not self.is_gone(name, self.incarnations.get(name, 0))
             and name not in self.leaving
         ]
 
@@ -109,7 +109,7 @@
     async def start_host(self, name: str) -> None:
         """Start a new incarnation of a host."""
         self._incarnation += 1
-        self.directory.lives[name] = self._incarnation
+        self.directory.incarnations[name] = self._incarnation
         await self._nursery.start(self._run_host, name, self._incarnation)
 
     async def _run_host(self, name: str, incarnation: int, task_status) -> None:
@@ -157,7 +157,7 @@
 
     def declare_gone(self, name: str) -> None:
         """Report a host's current incarnation as gone to all hosts."""
-        self.directory.gone[name] = self.directory.lives[name]
+        self.directory.gone[name] = self.directory.incarnations[name]
 
     def fail_host(self, name: str) -> None:
         """Crash a host and report it as gone to all others."""
--- a/tests/requests/test_once.py
+++ b/tests/requests/test_once.py
@@ -50,7 +50,7 @@
     hosts.log.lost_replies = 1
 
 
-async def fail_one_host(hosts):
+async def fail_backup(hosts):
     hosts.fail_host("entry-2")
 
 
@@ -60,7 +60,7 @@
     (no_fault, no_fault, ANSWERED, ANSWERED, 1),
     (lose_reply_of_claim, no_fault, ANSWERED, ANSWERED, 1),
     (crash_one_service_before_run, no_fault, ANSWERED, ANSWERED, 1),
-    (no_fault, fail_one_host, ANSWERED, ANSWERED, 1),
+    (no_fault, fail_backup, ANSWERED, ANSWERED, 1),
     (
         crash_services_during_run,
         no_fault,
@@ -94,7 +94,8 @@
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(call)
-            # The service takes 0.05 s after acceptance and claim.
+            # The service runs for 0.05 s after acceptance and claim, so the fault hits
+            # it while it runs.
             await trio.sleep(0.03)
             await during(hosts)
             await trio.sleep(10)
--- a/tests/requests/test_schedules.py
+++ b/tests/requests/test_schedules.py
@@ -131,10 +131,13 @@
             timers.resume()
 
     async def _suspect(self, name, other, seconds) -> None:
-        incarnation = self.hosts.directory.lives[name]
+        incarnation = self.hosts.directory.incarnations[name]
         self.hosts.directory.gone[name] = incarnation
         await trio.sleep(seconds)
-        if name in self.hosts.all and self.hosts.directory.lives[name] == incarnation:
+        if (
+            name in self.hosts.all
+            and self.hosts.directory.incarnations[name] == incarnation
+        ):
             self.hosts.directory.gone[name] = incarnation - 1
 
     async def _cut(self, name, other, seconds) -> None:
@@ -152,12 +155,15 @@
     async def _leave(self, name, other, seconds) -> None:
         if name not in self.hosts.all or len(self.hosts.all) <= 2:
             return
-        incarnation = self.hosts.directory.lives[name]
+        incarnation = self.hosts.directory.incarnations[name]
         self.hosts.directory.leaving.add(name)
         with trio.move_on_after(seconds):
             with contextlib.suppress(HostCrashed):
                 await self.hosts.call(name, lambda service: service.hand_over())
-        if self.hosts.directory.lives[name] == incarnation and name in self.hosts.all:
+        if (
+            self.hosts.directory.incarnations[name] == incarnation
+            and name in self.hosts.all
+        ):
             self.hosts.fail_host(name)
             await self.hosts.start_host(name)
         self.hosts.directory.leaving.discard(name)
