--- a/src/pepperstep/node.py
+++ b/src/pepperstep/node.py
@@ -261,7 +261,7 @@
             self.router,
             self._ports.upstreams,
             is_single=self._settings.requests.is_single,
-            resume_grace=limits.resume_grace_seconds,
+            resume_grace_seconds=limits.resume_grace_seconds,
             outcome_seconds=limits.outcome_seconds,
             claims=self._claims,
             recorder=self.metrics,
--- a/src/pepperstep/requests/service.py
+++ b/src/pepperstep/requests/service.py
@@ -73,7 +73,7 @@
         upstreams: UpstreamClient,
         *,
         is_single: bool = False,
-        resume_grace: float = 10.0,
+        resume_grace_seconds: float = 10.0,
         outcome_seconds: float = 600.0,
         claims: ClaimRegistry | None = None,
         recorder: Recorder | None = None,
@@ -87,7 +87,7 @@
         self._directory = directory
         self._router = router
         self._explanations = explanations
-        self._resume_grace = resume_grace
+        self._resume_grace_seconds = resume_grace_seconds
         self._outcome_seconds = outcome_seconds
         self._claims = claims or NoClaims()
         self._owned: dict[str, Run] = {}
@@ -369,7 +369,8 @@
         # caller who retries.
         is_required_to_finish = run.is_dispatched and not run.request.is_repeatable
         is_unread = (
-            run.reader_count == 0 and now - run.last_reader_left_at > self._resume_grace
+            run.reader_count == 0
+            and now - run.last_reader_left_at > self._resume_grace_seconds
         )
         if is_unread and not is_required_to_finish:
             run.stop()
