--- a/src/pepperstep/requests/acceptance.py
+++ b/src/pepperstep/requests/acceptance.py
@@ -1,35 +1,35 @@
-"""Takes requests on: key, record at a second host, and claim."""
+"""Accepts requests: idempotency key, backup record and claim."""
 
 from pepperstep.claims import ClaimAnswer, ClaimStatus
 from pepperstep.entities import Outcome, Request
 from pepperstep.errors import Code, Execution, Failure
 from pepperstep.ports import Timers
-from pepperstep.requests.claim_book import ClaimBook, RecordedAnswer, claim_key
-from pepperstep.requests.finder import Finder, Whereabouts
+from pepperstep.requests.claim_registry import ClaimRegistry, RecordedAnswer, claim_key
+from pepperstep.requests.finder import Finder, LookupStatus
+from pepperstep.requests.idempotency_keys import IdempotencyKeys
 from pepperstep.requests.journal import Journal
-from pepperstep.requests.keys import Keys
 from pepperstep.requests.run import Run
 
 __all__ = ["Acceptance"]
 
-# A request that isn't recorded or claimed after this time is refused.
-_ACCEPT_SECONDS = 3.0
-_RETRY_SECONDS = 0.1
-# A second that hasn't recorded a refusal after this time may not know of it.
-_REFUSE_SECONDS = 0.5
-# Time that an earlier request with the key is searched for.
-_SEARCH_SECONDS = 3.0
+# A request that isn't recorded or claimed within this time is refused.
+_ACCEPT_TIMEOUT_SECONDS = 3.0
+_RETRY_DELAY_SECONDS = 0.1
+# A refusal that isn't replicated within this time is reported as MAY_HAVE_RUN.
+_REFUSAL_TIMEOUT_SECONDS = 0.5
+# How long to search for an earlier request with the same key.
+_SEARCH_TIMEOUT_SECONDS = 3.0
 
 
 class Acceptance:
-    """Decides which request answers a caller: the new one or an earlier one."""
+    """Decides whether a new request or an earlier one answers the caller."""
 
     def __init__(
         self,
         journal: Journal,
-        keys: Keys,
+        keys: IdempotencyKeys,
         finder: Finder,
-        claims: ClaimBook,
+        claims: ClaimRegistry,
         timers: Timers,
     ):
         self._journal = journal
@@ -39,100 +39,103 @@
         self._timers = timers
 
     async def accept(self, run: Run) -> str:
-        """Return the id of the request that answers, `run` or an earlier one.
+        """Return the id of the request that answers: `run` or an earlier one.
 
-        Raise `Failure` if there is none. `run` hasn't run then, and won't.
+        Raise `Failure` if there is none; `run` has then not run and never will.
         """
         request = run.request
         if request.is_repeatable and request.idempotency_key:
-            first = await self._reserve(request)
-            if first != run.id:
-                return first
-        await self._record(run)
+            holder_id = await self._reserve(request)
+            if holder_id != run.id:
+                return holder_id
+        await self._replicate(run)
         return run.id if request.is_repeatable else await self.claim(run)
 
     async def claim(self, run: Run) -> str:
-        """Return the id of the request that has the claim or its answer.
+        """Return the id of the request that holds the claim.
 
-        Raise `Failure` if the claim isn't granted and no answer is known.
+        If the claim already has an outcome, the run adopts it and its own id is
+        returned. Raise `Failure` if the claim isn't granted and no answer is known.
         """
-        give_up_at = self._timers.now() + _SEARCH_SECONDS
+        give_up_at = self._timers.now() + _SEARCH_TIMEOUT_SECONDS
         while True:
-            answer = await self._ask_claim(run)
+            answer = await self._request_claim(run)
             if answer.is_granted:
                 run.claim = answer.claim
                 return run.id
             if answer.status is ClaimStatus.CONFLICT:
-                raise _conflict()
+                raise _conflict_failure()
             holder = answer.claim.request_id
             if answer.claim.outcome is not None:
-                self._repeat(run, RecordedAnswer.from_claim(answer.claim))
+                self._adopt_answer(run, RecordedAnswer.from_claim(answer.claim))
                 return run.id
             if holder == run.id:
                 raise Failure(Code.NOT_READY, "A later owner has the request's claim.")
             found = await self._finder.find(holder)
-            if found.whereabouts in (Whereabouts.OWNED, Whereabouts.HELD):
+            if found.status in (LookupStatus.OWNED, LookupStatus.HELD):
                 return holder
-            # A holder that didn't run frees its claim soon.
+            # A holder that hasn't run releases its claim soon, so asking again may
+            # succeed.
             if self._timers.now() > give_up_at:
-                if found.whereabouts is Whereabouts.FAILED:
+                if found.status is LookupStatus.FAILED:
                     return holder
-                raise _doubtful(holder)
-            await self._timers.sleep(_RETRY_SECONDS)
+                raise _uncertain_failure(holder)
+            await self._timers.sleep(_RETRY_DELAY_SECONDS)
 
-    async def take_claim(self, run: Run) -> None:
-        """Take over the claim of an ended run's earlier owner, if it is open."""
-        while run.claim is None and run.is_kept and not run.is_lost:
+    async def take_over_claim(self, run: Run) -> None:
+        """Acquire the previous owner's claim for an ended run, if it is open."""
+        while run.claim is None and run.is_backup_needed and not run.is_lost:
             try:
-                answer = await self._ask_claim(run)
+                answer = await self._request_claim(run)
             except Failure as failure:
                 if failure.code is not Code.NO_QUORUM:
                     return
-                await self._timers.sleep(_RETRY_SECONDS)
+                await self._timers.sleep(_RETRY_DELAY_SECONDS)
                 continue
             if not answer.is_granted:
                 return
             run.claim = answer.claim
 
     async def refuse(self, run: Run, failure: Failure) -> Failure:
-        """End a run that won't run, and return what to tell its caller.
+        """End a run that won't be executed and return the failure for its caller.
 
-        A caller with the same key could make another host run it that has a copy
-        and doesn't know of the refusal: it may have run, as far as is known here.
+        If a backup may have a copy of the run but not the refusal, it could take over
+        and execute the run for a caller with the same key. The failure then says that
+        the request may have run.
         """
-        run.outcome = _outcome_of(failure)
+        run.outcome = _failed_outcome(failure)
         is_safe = not run.request.idempotency_key or not self._journal.is_sent(run)
         if not is_safe:
-            with self._timers.move_on_after(_REFUSE_SECONDS):
+            with self._timers.move_on_after(_REFUSAL_TIMEOUT_SECONDS):
                 is_safe = await self._journal.confirm(run)
         if not is_safe:
             failure.execution = Execution.MAY_HAVE_RUN
-            run.outcome = _outcome_of(failure)
-        run.refuse()
-        self._journal.mark(run, is_urgent=True)
+            run.outcome = _failed_outcome(failure)
+        run.release_outcome()
+        self._journal.mark_changed(run, is_urgent=True)
         return failure
 
     async def _reserve(self, request: Request) -> str:
-        """Return the id of the request that has the idempotency key."""
+        """Return the id of the request that holds the idempotency key."""
         replaces = ""
-        give_up_at = self._timers.now() + _SEARCH_SECONDS
+        give_up_at = self._timers.now() + _SEARCH_TIMEOUT_SECONDS
         while True:
             holder = await self._keys.reserve(request, replaces)
             if holder.request_id == request.id:
                 return request.id
             if holder.fingerprint != request.fingerprint:
-                raise _conflict()
+                raise _conflict_failure()
             found = await self._finder.find(holder.request_id)
-            if found.whereabouts in (Whereabouts.OWNED, Whereabouts.HELD):
+            if found.status in (LookupStatus.OWNED, LookupStatus.HELD):
                 return holder.request_id
-            is_late = self._timers.now() > give_up_at
-            if is_late or found.whereabouts is not Whereabouts.UNCLEAR:
-                # It has failed or is lost, and may run again as another one.
+            is_timed_out = self._timers.now() > give_up_at
+            if is_timed_out or found.status is not LookupStatus.UNCLEAR:
+                # The earlier request failed or is lost, so the new one replaces it.
                 replaces = holder.request_id
                 continue
-            await self._timers.sleep(_RETRY_SECONDS)
+            await self._timers.sleep(_RETRY_DELAY_SECONDS)
 
-    async def _record(self, run: Run) -> None:
+    async def _replicate(self, run: Run) -> None:
         self._journal.add(run)
         with self._timers.move_on_after(self._seconds_left(run)):
             await run.wait_confirmed()
@@ -143,31 +146,31 @@
                 retry_after=1.0,
             )
 
-    async def _ask_claim(self, run: Run) -> ClaimAnswer:
+    async def _request_claim(self, run: Run) -> ClaimAnswer:
         request = run.request
         return await self._claims.claim(
             request.workspace,
             claim_key(request),
             request.id,
             request.fingerprint,
-            _ACCEPT_SECONDS if run.outcome else self._seconds_left(run),
+            _ACCEPT_TIMEOUT_SECONDS if run.outcome else self._seconds_left(run),
             run.epoch,
         )
 
     def _seconds_left(self, run: Run) -> float:
         remaining = run.request.deadline - self._timers.wall()
-        return max(0.0, min(_ACCEPT_SECONDS, remaining))
+        return max(0.0, min(_ACCEPT_TIMEOUT_SECONDS, remaining))
 
-    def _repeat(self, run: Run, answer: RecordedAnswer) -> None:
-        """End a run with the answer that its claim has."""
+    def _adopt_answer(self, run: Run, answer: RecordedAnswer) -> None:
+        """End a run with the answer recorded in its claim."""
         if run.outcome is not None:
             return
         run.tokens[:] = answer.tokens
         run.outcome = answer.outcome
-        self._journal.mark(run, is_urgent=True)
+        self._journal.mark_changed(run, is_urgent=True)
 
 
-def _outcome_of(failure: Failure) -> Outcome:
+def _failed_outcome(failure: Failure) -> Outcome:
     return Outcome(
         code=failure.code,
         text=failure.text,
@@ -176,14 +179,14 @@
     )
 
 
-def _conflict() -> Failure:
+def _conflict_failure() -> Failure:
     return Failure(
         Code.IDEMPOTENCY_CONFLICT,
         "The Idempotency-Key belongs to a request with another content.",
     )
 
 
-def _doubtful(request_id: str) -> Failure:
+def _uncertain_failure(request_id: str) -> Failure:
     return Failure(
         Code.MAY_HAVE_RUN,
         f"Request {request_id} with this key may have run; its answer is lost.",
--- a/src/pepperstep/requests/guards.py
+++ b/src/pepperstep/requests/guards.py
@@ -1,4 +1,4 @@
-"""What the driver asks of whoever keeps crashing requests away from upstreams."""
+"""Interface of the guard that keeps crashing requests away from upstreams."""
 
 import enum
 from dataclasses import dataclass
@@ -10,11 +10,15 @@
 from pepperstep.requests.probes import Diagnosis
 from pepperstep.requests.run import Run
 
-__all__ = ["Entry", "Guard", "NoGuard", "Permission"]
+__all__ = ["Admission", "Guard", "NoGuard", "Permission"]
 
 
 class Permission(enum.Enum):
-    """Whether a run may start on an upstream."""
+    """Whether a run may start on an upstream.
+
+    `WAIT`: another run of the content has to end first. `SHARE`: only upstreams that
+    already run the content are allowed.
+    """
 
     GRANTED = enum.auto()
     WAIT = enum.auto()
@@ -22,52 +26,53 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
-    """Permission to run, and how."""
+class Admission:
+    """A guard's decision on starting a run."""
 
     permission: Permission
-    # Names of the upstreams to share.
+    # With `SHARE`, names of the upstreams that are allowed.
     upstreams: frozenset[str] = frozenset()
-    # Whether it must be the only suspect on its upstream, and that to its end.
+    # Whether the run must be the only suspect on its upstream, and whether it must
+    # remain so until it ends.
     is_suspect: bool = False
     is_strict: bool = False
 
 
 class Guard(Protocol):
-    """What the driver asks before and tells after an attempt."""
+    """Admits the attempts of a request and learns how they ended."""
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED) -> None:
         """Work until cancelled."""
 
     def check(self, request: Request) -> None:
-        """Raise `Failure` with `CRASHING_REQUEST` for a convicted content."""
+        """Raise `Failure` with `CRASHING_REQUEST` for a blocked content."""
 
-    async def enter(self, run: Run, upstream: Upstream) -> Entry:
+    async def admit(self, run: Run, upstream: Upstream) -> Admission:
         """Return whether the run may start; raise `Failure` as `check` does."""
 
-    async def hold(self, run: Run, upstream: Upstream) -> bool:
-        """Return whether the run is the only suspect on the upstream now."""
+    async def reserve_upstream(self, run: Run, upstream: Upstream) -> bool:
+        """Return whether the run is now the only suspect on the upstream."""
 
-    def release(self, run: Run, upstream: Upstream) -> None:
-        """Let other suspects run on an upstream that was held."""
+    def release_upstream(self, run: Run, upstream: Upstream) -> None:
+        """Release the upstream, if reserved, so that other suspects may run on it."""
 
-    def note_passed(self, run: Run) -> None:
-        """Note that a suspect ran on past its loss, and release its upstream."""
+    def record_passed(self, run: Run) -> None:
+        """Record that a suspect survived its earlier loss; release its upstream."""
 
-    def leave(self, run: Run, is_answered: bool) -> None:
-        """Note that the run is on no upstream now."""
+    def record_end(self, run: Run, is_answered: bool) -> None:
+        """Record that the run is on no upstream any longer."""
 
-    async def report(
+    async def report_loss(
         self, run: Run, upstream: Upstream, diagnosis: Diagnosis, is_shared: bool
     ) -> bool:
         """Return whether a loss counts against the run's content.
 
-        Raise `Failure` with `CRASHING_REQUEST` if it convicts the content.
+        Raise `Failure` with `CRASHING_REQUEST` if the loss blocks the content.
         """
 
 
 class NoGuard:
-    """Guard that lets everything run anywhere (baseline)."""
+    """Guard that admits every run on any upstream (baseline)."""
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED) -> None:
         """Return at once."""
@@ -76,24 +81,24 @@
     def check(self, request: Request) -> None:
         """Do nothing."""
 
-    async def enter(self, run: Run, upstream: Upstream) -> Entry:
-        """Grant the run."""
-        return Entry(Permission.GRANTED)
+    async def admit(self, run: Run, upstream: Upstream) -> Admission:
+        """Admit the run."""
+        return Admission(Permission.GRANTED)
 
-    async def hold(self, run: Run, upstream: Upstream) -> bool:
+    async def reserve_upstream(self, run: Run, upstream: Upstream) -> bool:
         """Return True."""
         return True
 
-    def release(self, run: Run, upstream: Upstream) -> None:
+    def release_upstream(self, run: Run, upstream: Upstream) -> None:
         """Do nothing."""
 
-    def note_passed(self, run: Run) -> None:
+    def record_passed(self, run: Run) -> None:
         """Do nothing."""
 
-    def leave(self, run: Run, is_answered: bool) -> None:
+    def record_end(self, run: Run, is_answered: bool) -> None:
         """Do nothing."""
 
-    async def report(
+    async def report_loss(
         self, run: Run, upstream: Upstream, diagnosis: Diagnosis, is_shared: bool
     ) -> bool:
         """Return False."""
