--- a/src/pepperstep/consensus/election.py
+++ b/src/pepperstep/consensus/election.py
@@ -46,7 +46,7 @@
 
     async def _wait_timeout(self) -> None:
         """Return when no leader was heard from for a random time."""
-        timeout = self._tuning.election * (1 + self._rng.random())
+        timeout = self._tuning.election_timeout * (1 + self._rng.random())
         # A host that isn't elected waits again, from now on.
         start = self._timers.now()
         while True:
--- a/src/pepperstep/consensus/follower.py
+++ b/src/pepperstep/consensus/follower.py
@@ -60,11 +60,11 @@
         now = self._timers.now()
         if now < self._silent_until or self.has_lease():
             return True
-        return now < self._heard_at + self._tuning.election
+        return now < self._heard_at + self._tuning.election_timeout
 
     def start(self) -> None:
         """Begin a life of this host, which binds it for one election timeout."""
-        self._silent_until = self._timers.now() + self._tuning.election
+        self._silent_until = self._timers.now() + self._tuning.election_timeout
         self._vote_at = self._timers.now()
 
     def see_term(self, term: int) -> None:
--- a/src/pepperstep/consensus/repair.py
+++ b/src/pepperstep/consensus/repair.py
@@ -39,21 +39,23 @@
 
 
 class Repair:
-    """Watches the followers of one leadership; `size` is the number of voters."""
+    """Changes the membership when a follower is lost, replaced or added."""
 
-    def __init__(self, replica: Replica, timers: Timers, tuning: Tuning, size: int):
+    def __init__(
+        self, replica: Replica, timers: Timers, tuning: Tuning, target_voter_count: int
+    ):
         self._replica = replica
         self._timers = timers
         self._tuning = tuning
-        self._size = size
+        self._size = target_voter_count
         # With fewer voters, an entry would stand on too few disks.
-        self._min_voters = size // 2 + 1
+        self._min_voters = target_voter_count // 2 + 1
         self._rounds: dict[Identity, _Round] = {}
 
     async def run(self, leadership: Leadership) -> None:
         """Repair until cancelled."""
         self._rounds.clear()
-        async for _ in self._timers.subscribe(self._tuning.heartbeat):
+        async for _ in self._timers.subscribe(self._tuning.heartbeat_interval):
             if not self.is_settled(leadership):
                 continue
             wanted = self._next_membership(leadership)
@@ -89,7 +91,7 @@
         now = self._timers.now()
         for progress in leadership.progress.values():
             age = progress.contact_age(now)
-            if age is None or age > self._tuning.election:
+            if age is None or age > self._tuning.election_timeout:
                 return False
             if progress.match_index < self._replica.commit_index:
                 return False
@@ -181,7 +183,7 @@
         self._rounds[progress.identity] = _Round(self._replica.log.last_index, now)
         if current is None:
             return False
-        return now - current.started_at <= self._tuning.election
+        return now - current.started_at <= self._tuning.election_timeout
 
 
 def _describe(membership: Membership) -> str:
--- a/src/pepperstep/consensus/tuning.py
+++ b/src/pepperstep/consensus/tuning.py
@@ -11,9 +11,9 @@
 class Tuning:
     """Times in seconds, sizes in bytes; all hosts of a group need the same times."""
 
-    heartbeat: float = 0.25
+    heartbeat_interval: float = 0.25
     # Shortest election timeout; the longest is twice as much.
-    election: float = 1.0
+    election_timeout: float = 1.0
     # Share by which a host's monotonic clock may run fast or slow.
     clock_drift: float = 0.01
     # A new commit index alone waits as long for entries to go with.
@@ -47,4 +47,4 @@
     @property
     def lease(self) -> float:
         """Seconds for which contact at one time gives the leader its lease."""
-        return self.election * (1 - self.clock_drift) / (1 + self.clock_drift)
+        return self.election_timeout * (1 - self.clock_drift) / (1 + self.clock_drift)
--- a/tests/consensus/test_log.py
+++ b/tests/consensus/test_log.py
@@ -111,7 +111,7 @@
         election._wait_timeout = lambda: trio.sleep(0.01)
         start = trio.current_time()
         await cluster.wait_until(lambda: cluster.leader in followers)
-        assert trio.current_time() - start >= Tuning().election
+        assert trio.current_time() - start >= Tuning().election_timeout
 
 
 async def test_candidates_without_patience(autojump_clock):
