--- a/proofs/relay.py
+++ b/proofs/relay.py
@@ -252,7 +252,8 @@
         7,
         "a learner takes a silent voter's place",
         "consensus/repair.py",
-        "silent = [voter for voter, age in ages.items() if age > _VOTER_SILENCE_SECONDS]",
+        "silent = [voter for voter, age in ages.items()"
+        " if age > _VOTER_SILENCE_SECONDS]",
         "silent = []",
         (f"{_GROUP}test_host_at_another_address_takes_the_place_of_one_gone",),
     ),
--- a/src/pepperstep/consensus/replica.py
+++ b/src/pepperstep/consensus/replica.py
@@ -106,7 +106,7 @@
     def set_term(self, term: int, voted_for: str = "") -> None:
         """Set the current term and the vote in it."""
         self.term, self.voted_for = term, voted_for
-        self._writer.save_vote(term, voted_for)
+        self._writer.set_vote(term, voted_for)
 
     def append(self, entries: list[pb.LogEntry]) -> None:
         """Append entries to the log."""
--- a/src/pepperstep/consensus/writer.py
+++ b/src/pepperstep/consensus/writer.py
@@ -70,7 +70,7 @@
             return
         self._enqueue(_Append(first_index, previous_term, list(entries)))
 
-    def save_vote(self, term: int, voted_for: str) -> None:
+    def set_vote(self, term: int, voted_for: str) -> None:
         """Queue a new term and vote."""
         self._enqueue(_Vote(term, voted_for))
 
