--- a/proofs/mechanisms.py
+++ b/proofs/mechanisms.py
@@ -98,7 +98,7 @@
         3,
         "a claim that wasn't granted in time is given up",
         "claims/client.py",
-        "            if not is_granted:\n                self._give_up(pending)",
+        "            if not is_granted:\n                self._release(pending)",
         "            pass",
         ("tests/claims/test_claims.py",),
     ),
--- a/src/pepperstep/claims/__init__.py
+++ b/src/pepperstep/claims/__init__.py
@@ -1,4 +1,4 @@
-"""Claims: who may run a request that must not run twice, agreed by a quorum."""
+"""Claims for running a request at most once, granted through the replicated log."""
 
 from pepperstep.claims.client import Claims
 from pepperstep.claims.fences import Fences, HostFenceMachine
--- a/src/pepperstep/claims/client.py
+++ b/src/pepperstep/claims/client.py
@@ -1,7 +1,8 @@
-"""One host's claims, sent to the log in batches.
+"""Client for the claims of one host, which sends them to the log in batches.
 
-A claim that isn't granted to a caller that takes it is given up for good: its
-release goes to the log until it's committed, before or after the claim itself.
+A claim that isn't known to be granted before its caller's timeout is released.
+The release is sent until it is committed. It prevents the grant even if it is
+committed before the claim.
 """
 
 from collections import deque
@@ -26,36 +27,36 @@
 
 __all__ = ["Claims"]
 
-_MAX_BATCH = 256
-_PROPOSE_SECONDS = 2.0
-_RETRY_SECONDS = 0.1
-_FULL_RETRY_SECONDS = 60.0
+_MAX_BATCH_ITEMS = 256
+_PROPOSE_TIMEOUT_SECONDS = 2.0
+_RETRY_DELAY_SECONDS = 0.1
+_FULL_RETRY_AFTER_SECONDS = 60.0
 
-# Results after which the claim can't be granted any more.
-_FINAL = (ClaimStatus.RELEASED, ClaimStatus.EXPIRED, ClaimStatus.FENCED)
+# Results after which a claim can no longer be granted.
+_TERMINAL_STATUSES = (ClaimStatus.RELEASED, ClaimStatus.EXPIRED, ClaimStatus.FENCED)
 
 
 @dataclass(slots=True, eq=False)
 class _PendingClaim:
-    """A claim whose result is awaited."""
+    """A claim that awaits its result."""
 
     claim: Claim
     done: trio.Event = field(default_factory=trio.Event)
-    # Whether it may be committed.
+    # Whether the claim was sent, so that it may be committed.
     is_sent: bool = False
     result: claims_pb2.ClaimResult | None = None
 
 
 @dataclass(slots=True, eq=False)
 class _PendingFinish:
-    """A finish that isn't known to be committed."""
+    """A finish that isn't known to be committed yet."""
 
     message: claims_pb2.FinishClaim
     done: trio.Event = field(default_factory=trio.Event)
 
 
 class Claims:
-    """Claims and finishes of one host; `run` sends them."""
+    """Client for claims and finishes of one host, which `run` sends to the log."""
 
     def __init__(
         self,
@@ -68,7 +69,7 @@
         self._agreement = agreement
         self._timers = timers
         self._claim_seconds = claim_seconds
-        self._count = 0
+        self._claim_count = 0
         self._claims: dict[str, _PendingClaim] = {}
         self._finishes: deque[_PendingFinish] = deque()
         self._arrived = trio.Event()
@@ -81,16 +82,16 @@
         timers: Timers,
         claim_seconds: Callable[[], float],
     ) -> "Claims":
-        """Return the claims of a host.
+        """Return the client of a host.
 
-        `identity` tells this life of the host, which has joined the log's
-        fences. `claim_seconds` is the time to live of a claim.
+        `identity` returns the host's current identity, see `Fences.join`.
+        `claim_seconds` returns the time to live of a claim.
         """
         return cls(identity, agreement, timers, claim_seconds)
 
     @property
-    def unfinished(self) -> int:
-        """Finishes that aren't known to be committed."""
+    def uncommitted_finish_count(self) -> int:
+        """Number of finishes that aren't known to be committed yet."""
         return len(self._finishes)
 
     async def claim(
@@ -102,15 +103,15 @@
         timeout: float,
         epoch: int = 1,
     ) -> ClaimAnswer:
-        """Return whether this host may send the request, once that's committed.
+        """Claim the right to send a request and return the committed answer.
 
-        A host that has taken a request over claims it anew with a higher `epoch`,
-        which ends the open claim of the host before it.
+        A host that takes over a request claims it with a higher `epoch`, which
+        replaces the open claim of the previous owner.
 
-        Who gets a grant must end it by `finish`, with `NOT_RUN` if it sends
-        nothing. Raise `Failure`, after which the request must not be sent and
-        did not run: with `NO_QUORUM` after `timeout` seconds, with `FENCED`,
-        with `OVERLOADED` if no more claims can be kept.
+        A granted claim must be ended by `finish`, with `NOT_RUN` if the request
+        isn't sent. Raise `Failure` if the request must not be sent and didn't
+        run: with `NO_QUORUM` after `timeout` seconds, with `FENCED`, or with
+        `OVERLOADED` if there are too many claims.
         """
         pending = _PendingClaim(
             self._new_claim(workspace, key, request_id, fingerprint, epoch)
@@ -121,19 +122,19 @@
         try:
             with self._timers.move_on_after(timeout):
                 await pending.done.wait()
-            answer = _answer_of(pending)
+            answer = _to_answer(pending)
             is_granted = answer.is_granted
         finally:
             self._claims.pop(pending.claim.claim_id, None)
             if not is_granted:
-                self._give_up(pending)
+                self._release(pending)
         return answer
 
     async def finish(self, claim: Claim, outcome: ClaimOutcome, timeout: float) -> bool:
-        """Record how the claim's request ended; return whether that's committed.
+        """Record the outcome of a claimed request; return whether it is committed.
 
-        After `timeout` seconds it goes on in the background. The first outcome
-        stands, but for a doubt, which a later answer replaces.
+        After `timeout` seconds, sending continues in the background. Only the
+        first outcome counts, but `MAY_HAVE_RUN` may be replaced by a later one.
         """
         pending = self._queue_finish(claim, outcome)
         with self._timers.move_on_after(timeout):
@@ -152,16 +153,17 @@
             try:
                 await self._send_batch()
             except Failure as failure:
-                logging.warning("claims: Batch isn't committed: %s", failure.text)
-                await self._timers.sleep(_RETRY_SECONDS)
+                logging.warning("claims: Batch was not committed: %s", failure.text)
+                await self._timers.sleep(_RETRY_DELAY_SECONDS)
 
     async def _send_batch(self) -> None:
         self._drop_expired()
-        finishes = list(self._finishes)[:_MAX_BATCH]
+        finishes = list(self._finishes)[:_MAX_BATCH_ITEMS]
         claims: list[_PendingClaim] = []
-        # No claim overtakes the release of an earlier one of this host.
+        # A claim must not be committed before the release of an earlier claim of
+        # this host, so claims wait until all finishes fit into the batch.
         if len(finishes) == len(self._finishes):
-            claims = list(self._claims.values())[:_MAX_BATCH]
+            claims = list(self._claims.values())[:_MAX_BATCH_ITEMS]
         if not finishes and not claims:
             return
         for pending in claims:
@@ -172,10 +174,14 @@
             claims=[pending.claim.to_record() for pending in claims],
         )
         command = claims_pb2.ClaimsCommand(batch=batch).SerializeToString()
-        data = await self._agreement.propose(MACHINE_NAME, command, _PROPOSE_SECONDS)
-        self._deliver(claims, finishes, claims_pb2.ClaimBatchResult.FromString(data))
+        data = await self._agreement.propose(
+            MACHINE_NAME, command, _PROPOSE_TIMEOUT_SECONDS
+        )
+        self._set_results(
+            claims, finishes, claims_pb2.ClaimBatchResult.FromString(data)
+        )
 
-    def _deliver(
+    def _set_results(
         self,
         claims: list[_PendingClaim],
         finishes: list[_PendingFinish],
@@ -195,13 +201,13 @@
         owner = self._identity()
         if not owner.incarnation:
             raise Failure(Code.NOT_READY, "This host hasn't joined the log yet.")
-        self._count += 1
+        self._claim_count += 1
         now = self._timers.wall()
         return Claim(
             workspace=workspace,
             key=key,
-            # Unique, since no other life of the host has this incarnation.
-            claim_id=f"{owner.host}.{owner.incarnation}.{self._count}",
+            # Unique, since each start of a host gets a new incarnation.
+            claim_id=f"{owner.host}.{owner.incarnation}.{self._claim_count}",
             request_id=request_id,
             owner=owner,
             fingerprint=fingerprint,
@@ -210,12 +216,12 @@
             epoch=epoch,
         )
 
-    def _give_up(self, pending: _PendingClaim) -> None:
-        """See to it that the claim is held by nobody, now or later."""
+    def _release(self, pending: _PendingClaim) -> None:
+        """Make sure that the claim isn't held and can't be granted later."""
         if not pending.is_sent:
             return
-        # A second commit of a refused claim could still be granted.
-        if pending.result is None or pending.result.status not in _FINAL:
+        # A claim that was refused could still be granted if it is committed twice.
+        if pending.result is None or pending.result.status not in _TERMINAL_STATUSES:
             self._queue_finish(pending.claim, ClaimOutcome(OutcomeKind.NOT_RUN))
 
     def _queue_finish(self, claim: Claim, outcome: ClaimOutcome) -> _PendingFinish:
@@ -242,7 +248,7 @@
             self._finishes.popleft()
 
 
-def _answer_of(pending: _PendingClaim) -> ClaimAnswer:
+def _to_answer(pending: _PendingClaim) -> ClaimAnswer:
     if pending.result is None:
         raise Failure(Code.NO_QUORUM, "No quorum agrees that the request may run.")
     status = ClaimStatus(pending.result.status)
@@ -251,7 +257,7 @@
         raise Failure(Code.FENCED, text)
     if status == ClaimStatus.FULL:
         text = "No more claims can be kept."
-        raise Failure(Code.OVERLOADED, text, retry_after=_FULL_RETRY_SECONDS)
-    if status in _FINAL:
+        raise Failure(Code.OVERLOADED, text, retry_after=_FULL_RETRY_AFTER_SECONDS)
+    if status in _TERMINAL_STATUSES:
         raise Failure(Code.NO_QUORUM, "The claim came too late.")
     return ClaimAnswer(status, Claim.from_record(pending.result.record))
--- a/src/pepperstep/claims/fences.py
+++ b/src/pepperstep/claims/fences.py
@@ -1,7 +1,8 @@
-"""Fences: which lives of hosts may no longer act, agreed by a quorum.
+"""Fencing of host incarnations through the replicated log.
 
-Two hosts that suspect one another both try to fence the other. The first
-commit wins, and a fenced host can't fence anybody.
+Each start of a host gets a new incarnation. A fenced incarnation may no longer
+act. If two hosts suspect each other and both try to fence the other one, the
+first commit wins, since a fenced host can't fence other hosts.
 """
 
 from google.protobuf.message import DecodeError
@@ -21,41 +22,41 @@
 
 __all__ = ["Fences", "HostFenceMachine"]
 
-# Starts of a host whose incarnations are known again at a repeat.
-_KEPT_STARTS = 8
-# Fences of a host whose winners are known at a repeat.
-_KEPT_FENCES = 8
+# Latest starts of a host for which a repeated join returns the same incarnation.
+_MAX_KEPT_STARTS = 8
+# Latest fences of a host for which a repeated fence returns the same winner.
+_MAX_KEPT_FENCES = 8
 
 
 class HostFenceMachine:
-    """Incarnations given out and fenced; a part of the claims' machine.
+    """Issued and fenced incarnations; a part of `ClaimMachine`.
 
-    It is one machine with the claims since a claim of a fenced host must be
-    refused in the same order on all control hosts.
+    Fences and claims share one state machine, so that all control hosts refuse
+    the same claims of a fenced host.
     """
 
     def __init__(self) -> None:
         self._hosts: dict[str, HostFence] = {}
 
     def is_fenced(self, host: str, incarnation: int) -> bool:
-        """Whether this life of the host may no longer act."""
+        """Whether this incarnation of the host is fenced."""
         entry = self._hosts.get(host)
         return entry is not None and incarnation <= entry.fenced
 
     def join(self, command: JoinHost) -> FenceResult:
-        """Give a start of a host its incarnation, the same at a repeat."""
+        """Issue the incarnation of a host's start; a repeat returns the same one."""
         entry = self._hosts.setdefault(command.host, HostFence(host=command.host))
         for start in entry.starts:
             if start.start_id == command.start_id:
-                return _joined(start.incarnation)
+                return _join_result(start.incarnation)
         entry.incarnation += 1
         start = HostStart(start_id=command.start_id, incarnation=entry.incarnation)
         entry.starts.append(start)
-        del entry.starts[:-_KEPT_STARTS]
-        return _joined(entry.incarnation)
+        del entry.starts[:-_MAX_KEPT_STARTS]
+        return _join_result(entry.incarnation)
 
     def fence(self, command: FenceHost) -> FenceResult:
-        """Fence lives of a host, unless another was first."""
+        """Fence a host up to an incarnation unless another host did so first."""
         entry = self._hosts.get(command.host)
         if self.is_fenced(command.sender, command.sender_incarnation):
             return FenceResult(status=FenceStatus.REFUSED)
@@ -64,15 +65,15 @@
         if command.incarnation > entry.fenced:
             entry.fenced = command.incarnation
             entry.fences.append(command)
-            del entry.fences[:-_KEPT_FENCES]
-        return _fenced(entry, command)
+            del entry.fences[:-_MAX_KEPT_FENCES]
+        return _fence_result(entry, command)
 
     def snapshot(self) -> HostFences:
-        """Return the whole state."""
+        """Return the state of all hosts."""
         return HostFences(hosts=[self._hosts[name] for name in sorted(self._hosts)])
 
     def restore(self, state: HostFences) -> None:
-        """Take the state that `snapshot` returned."""
+        """Replace the state by one that `snapshot` returned."""
         self._hosts = {}
         for host in state.hosts:
             entry = HostFence()
@@ -81,7 +82,7 @@
 
 
 class Fences:
-    """One host's access to the fences; `join` comes first."""
+    """Client for fences on one host; `join` must be called first."""
 
     def __init__(self, host: str, agreement: Agreement, machine_name: str = "claims"):
         self._host = host
@@ -91,18 +92,19 @@
 
     @classmethod
     def from_config(cls, host: str, agreement: Agreement) -> "Fences":
-        """Return the fences as seen from `host`."""
+        """Return the client of `host`."""
         return cls(host, agreement)
 
     @property
     def identity(self) -> HostIdentity:
-        """This life of the host, with incarnation 0 before `join`."""
+        """Identity of this host's current start, with incarnation 0 before `join`."""
         return HostIdentity(self._host, self._incarnation)
 
     async def join(self, start_id: str, timeout: float) -> HostIdentity:
-        """Return this life's identity; a repeat gets the same one.
+        """Get an incarnation for this start and return the host's identity.
 
-        `start_id` must be unique for each start. Raise `Failure` with
+        `start_id` must be unique to each start; a repeat with the same one
+        returns the same identity. Raise `Failure` with
         `NO_QUORUM` after `timeout` seconds.
         """
         join = JoinHost(host=self._host, start_id=start_id)
@@ -111,13 +113,14 @@
         return self.identity
 
     async def fence(self, identity: HostIdentity, timeout: float) -> FenceAnswer:
-        """Fence `identity` and all earlier lives of its host.
+        """Fence `identity` and all earlier incarnations of its host.
 
-        They are fenced at each return, also where another host won.
+        They are fenced on return, even if another host fenced them first.
 
-        Raise `Failure` with `FENCED` if this host is fenced itself, with
-        `UNKNOWN_NAME` for a life that never was, with `NO_QUORUM` after
-        `timeout` seconds; it may then still be committed, and may be repeated.
+        Raise `Failure` with `FENCED` if this host itself is fenced, with
+        `UNKNOWN_NAME` for an incarnation that was never issued, and with
+        `NO_QUORUM` after `timeout` seconds. In the last case, the fence may
+        still be committed, and the call may be repeated.
         """
         fence = FenceHost(
             host=identity.host,
@@ -143,8 +146,8 @@
             raise Failure(Code.INTERNAL, "A fence's result is damaged.") from error
 
 
-def _fenced(entry: HostFence, command: FenceHost) -> FenceResult:
-    """Say who won the first kept fence that covers the command's."""
+def _fence_result(entry: HostFence, command: FenceHost) -> FenceResult:
+    """Return the winner of the first kept fence that covers the command's."""
     winner = next(
         fence for fence in entry.fences if fence.incarnation >= command.incarnation
     )
@@ -158,5 +161,5 @@
     )
 
 
-def _joined(incarnation: int) -> FenceResult:
+def _join_result(incarnation: int) -> FenceResult:
     return FenceResult(status=FenceStatus.JOINED, incarnation=incarnation)
--- a/src/pepperstep/claims/machine.py
+++ b/src/pepperstep/claims/machine.py
@@ -1,8 +1,8 @@
-"""The agreed claims: at most one for a key, until its time to live is over.
+"""State machine of the claims: at most one for each key until it expires.
 
-The machine's clock is the latest time that a command carried. A claim that
-was given up leaves its id behind, so that it can't be granted by a late or
-second commit of its command.
+The machine's clock is the latest time that a command has carried. The id of a
+released claim is kept until the claim expires, so that a late or repeated commit
+of its command can't grant it.
 """
 
 import heapq
@@ -26,24 +26,24 @@
 
 __all__ = ["MACHINE_NAME", "ClaimMachine"]
 
-# Name under which the machine is registered with the log.
+# Name of the state machine in the log.
 MACHINE_NAME = "claims"
 
-# Claims and given-up ids together; one takes about half a kilobyte.
+# Limit of claims and released ids together; each takes about half a kilobyte.
 _MAX_CLAIMS = 500_000
 
-_Key = tuple[str, str]
+_ClaimKey = tuple[str, str]
 
 
 class ClaimMachine:
-    """Machine of the claims and fences on a control host."""
+    """State machine of the claims and fences on a control host."""
 
     def __init__(self) -> None:
         self._fences = HostFenceMachine()
         self._clear()
 
     def apply(self, index: int, command: bytes) -> bytes:
-        """Carry out a `ClaimsCommand`, return its kind's result."""
+        """Apply a `ClaimsCommand` and return the result for its kind."""
         try:
             message = ClaimsCommand.FromString(command)
         except DecodeError:
@@ -60,7 +60,7 @@
         return result.SerializeToString()
 
     def snapshot(self) -> bytes:
-        """Return a `ClaimsState`."""
+        """Return the state as a serialized `ClaimsState`."""
         state = ClaimsState(clock=self._clock, fences=self._fences.snapshot())
         state.claims.extend(self._claims[key] for key in sorted(self._claims))
         for claim_id, expires_at in sorted(self._released.items()):
@@ -69,7 +69,7 @@
         return state.SerializeToString()
 
     def restore(self, data: bytes) -> None:
-        """Take the state of a snapshot; raise `Failure` if it can't be read."""
+        """Replace the state by a snapshot; raise `Failure` if it is damaged."""
         try:
             state = ClaimsState.FromString(data)
         except DecodeError as error:
@@ -79,17 +79,17 @@
         self._clock = state.clock
         self._fences.restore(state.fences)
         for record in state.claims:
-            self._keep(record)
+            self._store(record)
         for released in state.released:
             self._release(released.claim_id, released.expires_at)
 
     def _clear(self) -> None:
         self._clock = 0.0
-        self._claims: dict[_Key, ClaimRecord] = {}
-        # When the ids of claims that were given up can be forgotten.
+        self._claims: dict[_ClaimKey, ClaimRecord] = {}
+        # Expiration times of released claims by claim id.
         self._released: dict[str, float] = {}
-        self._claim_ends: list[tuple[float, _Key]] = []
-        self._release_ends: list[tuple[float, str]] = []
+        self._claim_expirations: list[tuple[float, _ClaimKey]] = []
+        self._release_expirations: list[tuple[float, str]] = []
 
     def _apply_batch(self, batch: ClaimBatch) -> ClaimBatchResult:
         self._clock = max(self._clock, batch.sent_at)
@@ -111,7 +111,7 @@
             return ClaimResult(status=ClaimStatus.CONFLICT, record=holder)
         if holder.claim_id == record.claim_id and not holder.HasField("outcome"):
             return self._grant(record)
-        if _succeeds(record, holder) and not self._is_fenced(record):
+        if _is_takeover(record, holder) and not self._is_fenced(record):
             del self._claims[record.workspace, record.key]
             self._release(holder.claim_id, holder.expires_at)
             return self._grant(record)
@@ -124,7 +124,7 @@
         if key not in self._claims:
             if len(self._claims) + len(self._released) >= _MAX_CLAIMS:
                 return ClaimResult(status=ClaimStatus.FULL)
-            self._keep(record)
+            self._store(record)
         return ClaimResult(status=ClaimStatus.GRANTED, record=self._claims[key])
 
     def _is_fenced(self, record: ClaimRecord) -> bool:
@@ -137,51 +137,53 @@
         holder = self._claims.get(key)
         is_holder = holder is not None and holder.claim_id == finish.claim_id
         if finish.outcome.kind == OutcomeKind.NOT_RUN:
-            # Only the owner knows that it sent nothing.
-            if is_holder and _is_open_to_owner(holder, finish):
+            # Only the owner knows that the request was not sent.
+            if is_holder and _is_releasable(holder, finish):
                 del self._claims[key]
             if not is_holder or key not in self._claims:
                 self._release(finish.claim_id, finish.expires_at)
-        elif is_holder and _is_undecided(holder):
+        elif is_holder and _is_outcome_open(holder):
             holder.outcome.CopyFrom(finish.outcome)
 
-    def _keep(self, record: ClaimRecord) -> None:
+    def _store(self, record: ClaimRecord) -> None:
         kept = ClaimRecord()
         kept.CopyFrom(record)
         key = (record.workspace, record.key)
         self._claims[key] = kept
-        heapq.heappush(self._claim_ends, (record.expires_at, key))
+        heapq.heappush(self._claim_expirations, (record.expires_at, key))
 
     def _release(self, claim_id: str, expires_at: float) -> None:
         if claim_id not in self._released:
             self._released[claim_id] = expires_at
-            heapq.heappush(self._release_ends, (expires_at, claim_id))
+            heapq.heappush(self._release_expirations, (expires_at, claim_id))
 
     def _prune(self) -> None:
-        while self._claim_ends and self._claim_ends[0][0] <= self._clock:
-            _, key = heapq.heappop(self._claim_ends)
+        while self._claim_expirations and self._claim_expirations[0][0] <= self._clock:
+            _, key = heapq.heappop(self._claim_expirations)
             record = self._claims.get(key)
-            # The key may belong to a later claim by now.
+            # The key may already belong to a later claim.
             if record is not None and record.expires_at <= self._clock:
                 del self._claims[key]
-        while self._release_ends and self._release_ends[0][0] <= self._clock:
-            _, claim_id = heapq.heappop(self._release_ends)
+        while (
+            self._release_expirations and self._release_expirations[0][0] <= self._clock
+        ):
+            _, claim_id = heapq.heappop(self._release_expirations)
             self._released.pop(claim_id, None)
 
 
-def _succeeds(record: ClaimRecord, holder: ClaimRecord) -> bool:
-    """Whether a later owner of the holder's request claims in its place."""
+def _is_takeover(record: ClaimRecord, holder: ClaimRecord) -> bool:
+    """Whether a new owner of the holder's request replaces its open claim."""
     is_same = record.request_id == holder.request_id
     is_open = not holder.HasField("outcome")
     return is_same and is_open and record.epoch > holder.epoch
 
 
-def _is_undecided(record: ClaimRecord) -> bool:
-    """Whether an outcome may still be recorded: there is none, or a doubt."""
+def _is_outcome_open(record: ClaimRecord) -> bool:
+    """Whether an outcome may be recorded: there is none or it is `MAY_HAVE_RUN`."""
     is_open = not record.HasField("outcome")
     return is_open or record.outcome.kind == OutcomeKind.MAY_HAVE_RUN
 
 
-def _is_open_to_owner(record: ClaimRecord, finish: FinishClaim) -> bool:
+def _is_releasable(record: ClaimRecord, finish: FinishClaim) -> bool:
     sender = (finish.sender, finish.incarnation)
-    return _is_undecided(record) and sender == (record.owner, record.incarnation)
+    return _is_outcome_open(record) and sender == (record.owner, record.incarnation)
--- a/src/pepperstep/claims/records.py
+++ b/src/pepperstep/claims/records.py
@@ -1,4 +1,4 @@
-"""Claims, their outcomes and fences, as the jobs see them."""
+"""Values of the claims and fences clients."""
 
 import enum
 import hashlib
@@ -18,56 +18,56 @@
     "OutcomeKind",
 ]
 
-# Answers up to this size are kept with the claim, of others the hash.
+# Answers up to this size are stored with the claim; longer ones only as a hash.
 MAX_INLINE_BYTES = 4096
 
 
 class ClaimStatus(enum.StrEnum):
-    """How a claim ended."""
+    """Result of a claim."""
 
-    # The owner, and nobody else, may send the request to an upstream.
+    # Only the owner may send the request to an upstream.
     GRANTED = "granted"
-    # Another claim holds the key; its outcome may be known.
+    # Another claim holds the key; its outcome may already be recorded.
     HELD = "held"
-    # The key was used for a request with other content.
+    # The key was used for a request with different content.
     CONFLICT = "conflict"
-    # The claim was given up before it was committed; nothing was sent.
+    # The claim was released before it was committed; the request was not sent.
     RELEASED = "released"
-    # The claim came after its own time to live; nothing was sent.
+    # The claim was committed after it had expired; the request was not sent.
     EXPIRED = "expired"
-    # The owner is fenced; its requests belong to other hosts.
+    # The owner is fenced; other hosts take over its requests.
     FENCED = "fenced"
-    # No room for more claims.
+    # There are too many claims.
     FULL = "full"
 
 
 class OutcomeKind(enum.StrEnum):
-    """What is known of a claimed request that has ended."""
+    """Outcome of a claimed request."""
 
     ANSWERED = "answered"
     MAY_HAVE_RUN = "may_have_run"
-    # Nothing was sent, which frees the key.
+    # The request was not sent; the key is free again.
     NOT_RUN = "not_run"
 
 
 class FenceStatus(enum.StrEnum):
-    """How a join or a fence ended."""
+    """Result of a join or a fence."""
 
-    # The incarnation is given out.
+    # The incarnation was issued.
     JOINED = "joined"
-    # The host is fenced by the sender, now or by an earlier call.
+    # The sender fenced the host, by this or an earlier call.
     FENCED = "fenced"
-    # Another host fenced it first.
+    # Another host fenced the host first.
     LOST = "lost"
     # The sender itself is fenced.
     REFUSED = "refused"
-    # The incarnation was never given out.
+    # The incarnation was never issued.
     UNKNOWN = "unknown"
 
 
 @dataclass(frozen=True, slots=True)
 class HostIdentity:
-    """One life of a host; the log gives out its incarnation."""
+    """One start of a host, identified by an incarnation that the log issues."""
 
     host: str
     incarnation: int
@@ -75,12 +75,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimOutcome:
-    """How a claimed request ended."""
+    """Outcome of a claimed request, with its answer if it is short."""
 
     kind: OutcomeKind
-    # Empty if it was longer than MAX_INLINE_BYTES.
+    # Empty if the answer was longer than MAX_INLINE_BYTES.
     answer: bytes = b""
-    # SHA-256 of the answer.
+    # SHA-256 hash of the answer.
     digest: bytes = b""
 
     @classmethod
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """One attempt to run a request, which names its owner."""
+    """The right of one owner to run a request."""
 
     workspace: str
     key: str
@@ -103,14 +103,14 @@
     # Unix times in seconds.
     claimed_at: float
     expires_at: float
-    # None while it's open.
+    # None until an outcome is recorded.
     outcome: ClaimOutcome | None = None
-    # Grows by one each time that another host takes the request over.
+    # Incremented whenever another host takes over the request.
     epoch: int = 1
 
     @classmethod
     def from_record(cls, record: claims_pb2.ClaimRecord) -> "Claim":
-        """Return the claim that a record holds."""
+        """Return the claim in `record`."""
         outcome = None
         if record.HasField("outcome"):
             kind = OutcomeKind(record.outcome.kind)
@@ -129,7 +129,7 @@
         )
 
     def to_record(self) -> claims_pb2.ClaimRecord:
-        """Return the record of an open claim."""
+        """Return the record of this claim, without its outcome."""
         return claims_pb2.ClaimRecord(
             workspace=self.workspace,
             key=self.key,
@@ -146,7 +146,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimAnswer:
-    """Whether a claim is granted, and who holds the key if not."""
+    """Result of a claim and the claim that holds the key."""
 
     # GRANTED, HELD or CONFLICT.
     status: ClaimStatus
@@ -161,12 +161,12 @@
 
 @dataclass(frozen=True, slots=True)
 class FenceAnswer:
-    """How a fence ended, and who fenced the host."""
+    """Result of a fence and the host that won it."""
 
     status: FenceStatus
     fenced_by: HostIdentity
 
     @property
     def is_won(self) -> bool:
-        """Whether it was the caller that fenced the host."""
+        """Whether the caller fenced the host."""
         return self.status == FenceStatus.FENCED
--- a/tests/claims/test_claims.py
+++ b/tests/claims/test_claims.py
@@ -139,7 +139,7 @@
             assert (await other.claim()).status == ClaimStatus.HELD
         bench.log.has_quorum = True
         await trio.sleep(3.0)
-        assert host.claims.unfinished == 0
+        assert host.claims.uncommitted_finish_count == 0
         if captured is None:
             # What was sent without a quorum arrives after its release.
             release = bench.batches()[-1].finishes[0]
@@ -258,7 +258,11 @@
             assert [key for _, key in machine._claims] == ["new"]
             # The claim of a minute ago that was refused and given up.
             assert [*machine._released] == ["b.1.1"]
-            assert len(machine._claim_ends) == len(machine._release_ends) == 1
+            assert (
+                len(machine._claim_expirations)
+                == len(machine._release_expirations)
+                == 1
+            )
         assert (await behind.claim("old")).is_granted
 
 
