--- a/tests/consensus/cluster.py
+++ b/tests/consensus/cluster.py
@@ -1,4 +1,4 @@
-"""Control hosts in one process, and a checker of what must always hold."""
+"""Control hosts in one process and checks of Raft's safety properties."""
 
 import random
 from collections import deque
@@ -12,20 +12,22 @@
 from pepperstep.errors import Code, Failure
 from pepperstep.fakes import FakeDisk, FakeNetwork, FakePeers, FakeTimers
 
-SMALL = Tuning(
+SMALL_LIMITS = Tuning(
     snapshot_entries=40, trailing_entries=5, segment_bytes=600, snapshot_chunk_bytes=200
 )
 
 
-class Ledger:
-    """Machine that keeps its commands; the checker compares all ledgers."""
+class RecordingMachine:
+    """State machine that records its commands, which `Cluster` compares."""
 
-    def __init__(self, seen: dict[int, bytes]):
+    def __init__(self, applied_commands: dict[int, bytes]):
         self.commands: list[bytes] = []
-        self._seen = seen
+        self._applied_commands = applied_commands
 
     def apply(self, index: int, command: bytes) -> bytes:
-        assert self._seen.setdefault(index, command) == command, "Logs differ."
+        assert self._applied_commands.setdefault(index, command) == command, (
+            "Logs differ."
+        )
         self.commands.append(command)
         return b"%d:%s" % (len(self.commands), command)
 
@@ -37,49 +39,49 @@
 
 
 class Crashed(Exception):
-    """The host of this life has crashed."""
+    """Raised by the disk of a host that has crashed."""
 
 
-class LifeDisk:
-    """A disk as one life of a host sees it: out of reach after the crash."""
+class LiveDisk:
+    """Disk access of a running host, which fails once that host crashes."""
 
     def __init__(self, disk: FakeDisk):
         self._disk = disk
-        self.is_dead = False
+        self.is_crashed = False
 
     def __getattr__(self, name: str):
         method = getattr(self._disk, name)
 
         async def call(*arguments):
-            if self.is_dead:
+            if self.is_crashed:
                 raise Crashed
-            await trio.sleep(self.delay if name in ("sync", "replace") else 0)
-            if self.is_dead:
+            await trio.sleep(self.sync_delay if name in ("sync", "replace") else 0)
+            if self.is_crashed:
                 raise Crashed
             return await method(*arguments)
 
         return call
 
-    delay = 0.001
+    sync_delay = 0.001
 
 
-class LatePeers(FakePeers):
-    """Peers that keep arrived messages, so that they may come once more."""
+class ReplayingPeers(FakePeers):
+    """Peers that record received messages, so that they can be replayed."""
 
-    def __init__(self, past: deque[tuple[str, bytes]], *arguments):
+    def __init__(self, received_messages: deque[tuple[str, bytes]], *arguments):
         super().__init__(*arguments)
-        self._past = past
+        self._received_messages = received_messages
 
     def start_handling(self, data: bytes, answers: trio.MemorySendChannel) -> None:
-        self._past.append((self.name, data))
+        self._received_messages.append((self.name, data))
         super().start_handling(data, answers)
 
-    def repeat(self, data: bytes) -> None:
+    def replay(self, data: bytes) -> None:
         super().start_handling(data, trio.open_memory_channel(1)[0])
 
 
 class Host:
-    """A control host: its disk outlives it."""
+    """A control host; its disk survives a crash."""
 
     def __init__(self, name: str, seed: int):
         self.name = name
@@ -88,13 +90,13 @@
         self.timers = FakeTimers()
         self.is_up = False
         self.is_lost = False
-        self.life: LifeDisk | None = None
+        self.live_disk: LiveDisk | None = None
         self.failure: BaseException | None = None
-        self.checked = 0
+        self.checked_index = 0
 
 
 class Cluster:
-    """Hosts on one network; `check` runs at each step of the monitor."""
+    """Hosts on one network, with `check_invariants` called periodically."""
 
     def __init__(self, nursery: trio.Nursery, count: int, tuning: Tuning, seed: int):
         self._nursery = nursery
@@ -102,25 +104,25 @@
         self.network = FakeNetwork(random.Random(seed))
         self.names = tuple("abcdefg"[:count])
         self.hosts = {name: Host(name, seed) for name in self.names}
-        self.seen: dict[int, bytes] = {}
-        self.entries: dict[int, bytes] = {}
-        self.leaders: dict[int, str] = {}
-        self.acknowledged: dict[bytes, bytes] = {}
-        self.proposed = 0
-        self.past: deque[tuple[str, bytes]] = deque(maxlen=100)
+        self.applied_commands: dict[int, bytes] = {}
+        self.committed_entries: dict[int, bytes] = {}
+        self.leaders_by_term: dict[int, str] = {}
+        self.results_by_command: dict[bytes, bytes] = {}
+        self.proposal_count = 0
+        self.received_messages: deque[tuple[str, bytes]] = deque(maxlen=100)
 
     async def start(self, *names: str) -> None:
         for name in names or self.names:
             await self._nursery.start(
-                self._live, self.hosts.setdefault(name, Host(name, 0))
+                self._run_host, self.hosts.setdefault(name, Host(name, 0))
             )
 
     def crash(self, name: str, torn_bytes: int = 0, is_disk_lost: bool = False) -> None:
         host = self.hosts[name]
         host.is_up = False
         self.network.detach(name)
-        if host.life is not None:
-            host.life.is_dead = True
+        if host.live_disk is not None:
+            host.live_disk.is_crashed = True
         host.scope.cancel()
         host.timers.resume()
         host.disk.crash(torn_bytes)
@@ -131,38 +133,38 @@
         self.crash(name, **crash)
         await self.start(name)
 
-    def crash_at(self, name: str, count: int, torn_bytes: int = 0) -> None:
-        """Crash a host right before the write that comes after `count` others."""
+    def crash_before_write(self, name: str, count: int, torn_bytes: int = 0) -> None:
+        """Crash a host right before its write number `count`, counted from 0."""
         host = self.hosts[name]
-        life = host.life
+        live_disk = host.live_disk
 
         def before(operation: str, file: str) -> None:
             nonlocal count
             count -= 1
-            if count < 0 and host.life is life and host.is_up:
+            if count < 0 and host.live_disk is live_disk and host.is_up:
                 host.disk.before = lambda operation, file: None
                 self.crash(name, torn_bytes)
                 raise Crashed
 
         host.disk.before = before
 
-    def repeat_late(self, place: int) -> None:
-        """Let a message of the past come once more."""
-        if self.past:
-            name, data = self.past[place % len(self.past)]
+    def replay_message(self, position: int) -> None:
+        """Deliver a message that was received earlier once more."""
+        if self.received_messages:
+            name, data = self.received_messages[position % len(self.received_messages)]
             if self.hosts[name].is_up:
-                self.hosts[name].peers.repeat(data)
+                self.hosts[name].peers.replay(data)
 
     def consensus(self, name: str) -> Consensus:
         return self.hosts[name].consensus
 
     @property
-    def up(self) -> list[Host]:
+    def running_hosts(self) -> list[Host]:
         return [host for host in self.hosts.values() if host.is_up]
 
     @property
     def leader(self) -> str:
-        found = [host.name for host in self.up if host.consensus.is_leader]
+        found = [host.name for host in self.running_hosts if host.consensus.is_leader]
         assert len(found) <= 1, f"Two leases at once: {found}"
         return found[0] if found else ""
 
@@ -173,18 +175,18 @@
                 if result:
                     return result
                 await trio.sleep(0.05)
-        states = [host.consensus.status() for host in self.up]
+        states = [host.consensus.status() for host in self.running_hosts]
         raise AssertionError(f"Not within {seconds} s: {states}")
 
     async def wait_leader(self, seconds: float = 60) -> str:
         return await self.wait_until(lambda: self.leader, seconds)
 
     async def propose(self, name: str, timeout: float = 10.0) -> bytes:
-        """Propose the next command on a host and note its answer."""
-        self.proposed += 1
-        command = b"c%d" % self.proposed
+        """Propose the next command on a host and record its result."""
+        self.proposal_count += 1
+        command = b"c%d" % self.proposal_count
         answer = await self.consensus(name).propose("ledger", command, timeout)
-        self.acknowledged[command] = answer
+        self.results_by_command[command] = answer
         return answer
 
     async def try_propose(self, name: str, timeout: float = 3.0) -> None:
@@ -199,95 +201,105 @@
             for _ in range(count):
                 nursery.start_soon(self.propose, name)
 
-    def check(self) -> None:
-        """Check leaders, leases and committed entries of all hosts."""
+    def check_invariants(self) -> None:
+        """Check terms, leases and committed entries of all running hosts."""
         assert self.leader is not None
-        for host in self.up:
+        for host in self.running_hosts:
             leadership = host.consensus._leadership
             if leadership is not None:
-                first = self.leaders.setdefault(leadership.term, host.name)
+                first = self.leaders_by_term.setdefault(leadership.term, host.name)
                 assert first == host.name, f"Two leaders in term {leadership.term}."
             self._check_entries(host)
 
     def _check_entries(self, host: Host) -> None:
         replica = host.consensus._replica
-        start = max(host.checked, replica.log.base_index) + 1
+        start = max(host.checked_index, replica.log.base_index) + 1
         for index in range(start, replica.commit_index + 1):
             data = replica.log.entry(index).SerializeToString(deterministic=True)
-            assert self.entries.setdefault(index, data) == data, "Logs differ."
-        host.checked = replica.commit_index
+            assert self.committed_entries.setdefault(index, data) == data, (
+                "Logs differ."
+            )
+        host.checked_index = replica.commit_index
 
-    async def settle(self, seconds: float = 120) -> None:
-        """Heal all, wait for full redundancy, and compare all hosts."""
+    async def heal_and_compare(self, seconds: float = 120) -> None:
+        """Remove all faults, wait until the group is redundant, and compare hosts."""
         self.network.heal()
         self.network.loss = self.network.duplication = 0.0
         self.network.max_delay = self.network.min_delay
         for host in self.hosts.values():
             host.disk.before = lambda operation, file: None
-            host.life.delay = LifeDisk.delay
+            host.live_disk.sync_delay = LiveDisk.sync_delay
             host.timers.resume()
             if not host.is_up:
                 await self.start(host.name)
         await self.wait_until(self.is_redundant, seconds)
         await self.propose(self.leader)
-        for host in self.up:
+        for host in self.running_hosts:
             await host.consensus.barrier(10)
-        self.check()
-        self._compare()
+        self.check_invariants()
+        self._compare_hosts()
 
     def is_redundant(self) -> bool:
-        """Whether the leader says so, of the disks that the hosts have now."""
+        """Whether the leader reports redundancy for the current disks of the hosts."""
         if not self.leader:
             return False
         status = self.consensus(self.leader).status()
-        disks = {host.name: host.consensus.status().disk_id for host in self.up}
+        disks = {
+            host.name: host.consensus.status().disk_id for host in self.running_hosts
+        }
         is_known = all(disks.get(v.name) == v.disk_id for v in status.voters)
         return bool(status.is_redundant) and is_known
 
-    def _compare(self) -> None:
-        ledgers = [host.ledger.commands for host in self.up]
-        assert all(ledger == ledgers[0] for ledger in ledgers), "States differ."
-        assert len(set(ledgers[0])) == len(ledgers[0]), "Applied twice."
-        for command, answer in self.acknowledged.items():
-            place = int(answer.split(b":")[0]) - 1
-            assert ledgers[0][place] == command, f"Lost {command}."
+    def _compare_hosts(self) -> None:
+        command_lists = [host.machine.commands for host in self.running_hosts]
+        assert all(commands == command_lists[0] for commands in command_lists), (
+            "States differ."
+        )
+        assert len(set(command_lists[0])) == len(command_lists[0]), "Applied twice."
+        for command, answer in self.results_by_command.items():
+            position = int(answer.split(b":")[0]) - 1
+            assert command_lists[0][position] == command, f"Lost {command}."
 
-    async def monitor(self) -> None:
+    async def check_periodically(self) -> None:
         while True:
             await trio.sleep(0.02)
-            self.check()
+            self.check_invariants()
 
-    async def _live(self, host: Host, task_status) -> None:
-        life = host.life = LifeDisk(host.disk)
+    async def _run_host(self, host: Host, task_status) -> None:
+        live_disk = host.live_disk = LiveDisk(host.disk)
         host.failure = None
-        host.checked = 0
+        host.checked_index = 0
         host.timers = FakeTimers()
         with trio.CancelScope() as host.scope:
             try:
                 async with trio.open_nursery() as nursery:
-                    self._build(host, life, nursery)
+                    self._create_consensus(host, live_disk, nursery)
                     task_status.started()
                     await host.consensus.run()
             except* (Crashed, OSError, Failure) as group:
                 host.failure = group
-                if host.life is life and not life.is_dead:
+                if host.live_disk is live_disk and not live_disk.is_crashed:
                     logging.error("Host %s ended: %r", host.name, group.exceptions)
                     host.is_up = False
                     self.network.detach(host.name)
 
-    def _build(self, host: Host, life: LifeDisk, nursery: trio.Nursery) -> None:
-        host.peers = LatePeers(self.past, host.name, self.network, host.timers, nursery)
-        host.ledger = Ledger(self.seen)
+    def _create_consensus(
+        self, host: Host, live_disk: LiveDisk, nursery: trio.Nursery
+    ) -> None:
+        host.peers = ReplayingPeers(
+            self.received_messages, host.name, self.network, host.timers, nursery
+        )
+        host.machine = RecordingMachine(self.applied_commands)
         host.consensus = Consensus.from_config(
             name=host.name,
             voters=self.names,
-            storage=life,
+            storage=live_disk,
             peers=host.peers,
             timers=host.timers,
             rng=host.rng,
             tuning=self._tuning,
         )
-        host.consensus.register("ledger", host.ledger)
+        host.consensus.register("ledger", host.machine)
         host.is_up = True
 
     async def add_remote(self, name: str = "entry") -> RemoteAgreement:
@@ -305,11 +317,11 @@
 
 
 @asynccontextmanager
-async def open_cluster(count: int = 3, tuning: Tuning = SMALL, seed: int = 0):
-    """Yield a cluster whose hosts are not started yet."""
+async def open_cluster(count: int = 3, tuning: Tuning = SMALL_LIMITS, seed: int = 0):
+    """Yield a cluster whose hosts aren't started."""
     async with trio.open_nursery() as nursery:
         cluster = Cluster(nursery, count, tuning, seed)
-        nursery.start_soon(cluster.monitor)
+        nursery.start_soon(cluster.check_periodically)
         yield cluster
-        cluster.check()
+        cluster.check_invariants()
         nursery.cancel_scope.cancel()
--- a/tests/consensus/test_files.py
+++ b/tests/consensus/test_files.py
@@ -1,4 +1,4 @@
-"""Damage and torn ends of the log's files, and crashes at each write."""
+"""Damaged and torn log files, and crashes at each write."""
 
 import random
 
@@ -74,15 +74,15 @@
         assert _read(bytes(data)) == payloads
 
 
-def test_zeros_in_the_middle_are_no_torn_end():
+def test_zeros_before_a_valid_frame_are_an_error():
     data = bytearray(_file([b"a" * 2000, b"b"]))
     data[512:1024] = bytes(512)
     with pytest.raises(Failure, match="others follow"):
         _read(bytes(data))
 
 
-def test_frame_within_a_payload_is_none():
-    """A copy of a frame in a torn write isn't taken for a frame that follows."""
+def test_frame_copy_in_a_payload_is_ignored():
+    """A frame copied into a payload must not hide that the write is torn."""
     inner = encode_frame(5, b"inner", 7, 0)
     data = _file([b"first", inner * 3])
     assert _read(data[:-1]) == [b"first"]
@@ -91,8 +91,8 @@
         decode_single("vote", data, 5)
 
 
-class Files:
-    """A store's files after some changes, and how to read them again."""
+class StoreFiles:
+    """Files of a store with some changes, which can be loaded again."""
 
     def __init__(self, disk=None) -> None:
         self.disk = disk or FakeDisk()
@@ -121,8 +121,8 @@
     return pb.LogEntry(term=term, proposal=pb.LogProposal(command=b"c%d" % number))
 
 
-async def test_store_returns_what_was_synced():
-    files = Files()
+async def test_store_loads_synced_entries():
+    files = StoreFiles()
     await files.fill()
     entries = await files.read()
     assert entries[-3:] == [(1, b"c28"), (2, b"c129"), (2, b"c130")]
@@ -132,15 +132,15 @@
 
 
 async def test_store_in_a_folder(tmp_path):
-    files, copy = Files(FolderStorage(tmp_path)), Files()
+    files, copy = StoreFiles(FolderStorage(tmp_path)), StoreFiles()
     await files.fill()
     await copy.fill()
     assert await files.read() == await copy.read()
     assert await files.disk.names() == await copy.disk.names()
 
 
-async def test_store_with_any_damage():
-    files = Files()
+async def test_store_detects_damage():
+    files = StoreFiles()
     await files.fill()
     whole = await files.read()
     rng = random.Random(1)
@@ -153,16 +153,18 @@
                 await files.read()
             assert caught.value.code == Code.CORRUPT_STORAGE
             files.disk.damage(name, offset)
-        await _check_cuts(files, name, whole, is_last=name == _last_log(names))
-        await _check_missing(files, name)
+        await _check_truncated(files, name, whole, is_last=name == _last_segment(names))
+        await _check_deleted(files, name)
     assert await files.read() == whole
 
 
-def _last_log(names: list[str]) -> str:
+def _last_segment(names: list[str]) -> str:
     return max(name for name in names if "-log-" in name)
 
 
-async def _check_cuts(files: Files, name: str, whole: list, is_last: bool) -> None:
+async def _check_truncated(
+    files: StoreFiles, name: str, whole: list, is_last: bool
+) -> None:
     data = await files.disk.read(name)
     for size in range(0, len(data), 7):
         await files.disk.replace(name, data[:size])
@@ -176,11 +178,12 @@
     await files.disk.replace(name, data)
 
 
-async def _check_missing(files: Files, name: str) -> None:
+async def _check_deleted(files: StoreFiles, name: str) -> None:
     data = await files.disk.read(name)
     logs = [other for other in await files.disk.names() if "-log-" in other]
     if name in (logs[0], logs[-1]):
-        # The snapshot covers the first; the last may not have been made yet.
+        # The snapshot covers the first segment, and the last one may not have been
+        # created before a crash.
         return
     await files.disk.delete(name)
     with pytest.raises(Failure) as caught:
@@ -190,13 +193,16 @@
 
 
 async def test_reset_is_durable():
-    """Entries that a snapshot has overtaken don't come back."""
-    files = Files()
+    """Entries that conflict with an installed snapshot don't come back.
+
+    The host crashes between storing the snapshot and resetting the log.
+    """
+    files = StoreFiles()
     await files.fill()
     store = LogStore(files.disk, "g", segment_bytes=300)
     await store.load_log(await store.load_snapshot())
     await store.save_snapshot(pb.LogSnapshot(index=30, term=3))
-    # Crash here: the log's entry 30 is of term 2.
+    # The log's entry 30 is of term 2, so it conflicts with the snapshot.
     assert await files.read() == []
     store = LogStore(files.disk, "g", segment_bytes=300)
     await store.load_log(await store.load_snapshot())
@@ -204,11 +210,15 @@
     assert await files.read() == [(3, b"c31")]
 
 
-async def test_entries_that_were_read_are_durable():
-    """A process that died before its sync may have left more than is durable."""
-    files = Files()
+async def test_loaded_entries_are_durable():
+    """Loading must sync entries that a crashed process wrote but didn't sync.
+
+    Otherwise, a second crash would remove entries that were already reported as
+    durable.
+    """
+    files = StoreFiles()
     await files.fill()
-    log = _last_log(await files.disk.names())
+    log = _last_segment(await files.disk.names())
     data = await files.disk.read(log)
     batch = pb.LogBatch(first_index=31, entries=[_entry(2, 131)])
     payload = batch.SerializeToString()
@@ -222,8 +232,11 @@
 
 @pytest.mark.parametrize("start", range(8, 24))
 @pytest.mark.parametrize("trim", [14, 18, 22])
-async def test_overruled_before_the_segment(start, trim):
-    """Entries are overruled from before a segment's base, then trimmed."""
+async def test_overwrite_before_segment_base(start, trim):
+    """Entries are overwritten from before a segment's base, then trimmed.
+
+    The remaining segments must be readable without the deleted ones.
+    """
     disk = FakeDisk()
     store = LogStore(disk, "g", segment_bytes=300)
     await store.save_identity(pb.LogIdentityFile(disk_id="d", is_member=True))
@@ -235,21 +248,21 @@
         await store.append(index, 1 + (index > start), [_entry(2, index)])
     await store.save_snapshot(pb.LogSnapshot(index=25, term=2))
     await store.trim(trim)
-    entries = await Files(disk).read()
+    entries = await StoreFiles(disk).read()
     wanted = [(1 + (index >= start), b"c%d" % index) for index in range(trim + 1, 30)]
     assert entries[-len(wanted) :] == wanted
 
 
 @pytest.mark.parametrize("torn_bytes", [0, 1, 30, 10_000])
 async def test_crash_at_each_write(autojump_clock, torn_bytes):
-    """A host crashes before its n-th write from now on, for each n."""
+    """A leader or follower crashes before its n-th write while it gets proposals."""
     async with open_cluster() as cluster:
         await cluster.start()
         for step in range(16):
             name = await cluster.wait_leader()
             if step % 2:
                 name = next(other for other in cluster.names if other != name)
-            cluster.crash_at(name, step // 2, torn_bytes)
+            cluster.crash_before_write(name, step // 2, torn_bytes)
             async with trio.open_nursery() as nursery:
                 for _ in range(60):
                     nursery.start_soon(cluster.try_propose, "abc"[step % 3])
@@ -258,17 +271,17 @@
             if not cluster.hosts[name].is_up:
                 await cluster.start(name)
             await trio.sleep(0.5)
-        await cluster.settle()
+        await cluster.heal_and_compare()
 
 
-async def test_damaged_host_stops(autojump_clock):
+async def test_host_with_damaged_log_stops(autojump_clock):
     async with open_cluster() as cluster:
         await cluster.start()
         await cluster.propose_many(20)
-        await cluster.settle()
+        await cluster.heal_and_compare()
         name = next(name for name in cluster.names if name != cluster.leader)
         cluster.crash(name)
-        log = _last_log(await cluster.hosts[name].disk.names())
+        log = _last_segment(await cluster.hosts[name].disk.names())
         size = len(await cluster.hosts[name].disk.read(log))
         cluster.hosts[name].disk.damage(log, size - 1)
         await cluster.start(name)
@@ -277,6 +290,6 @@
         assert failure.code == Code.CORRUPT_STORAGE
         assert log in failure.text
         await cluster.propose(cluster.leader)
-        # The operator takes the disk for lost.
+        # The operator replaces the disk.
         cluster.hosts[name].disk.lose()
-        await cluster.settle()
+        await cluster.heal_and_compare()
--- a/tests/consensus/test_follower.py
+++ b/tests/consensus/test_follower.py
@@ -1,4 +1,4 @@
-"""Messages of leaders and candidates, one by one."""
+"""Single append, vote and snapshot requests to a follower."""
 
 import random
 from contextlib import asynccontextmanager
@@ -13,7 +13,7 @@
 from pepperstep.consensus.store import LogStore
 from pepperstep.fakes import FakeDisk, FakeTimers
 from pepperstep.proto import consensus_pb2 as pb
-from tests.consensus.cluster import SMALL, Ledger
+from tests.consensus.cluster import SMALL_LIMITS, RecordingMachine
 
 VOTERS = tuple(Identity(name, name) for name in "abc")
 
@@ -29,14 +29,14 @@
 
 
 @asynccontextmanager
-async def _follower(terms: list[int]):
-    """Yield a follower with entries of these terms, all synced."""
-    replica = Replica(FakeDisk(), "g", SMALL)
-    replica.machines.register("ledger", Ledger({}))
+async def open_follower(terms: list[int]):
+    """Yield a follower whose log has synced entries of the given terms."""
+    replica = Replica(FakeDisk(), "g", SMALL_LIMITS)
+    replica.machines.register("ledger", RecordingMachine({}))
     replica.identity = VOTERS[0]
     await replica.create(Membership(VOTERS))
     await replica.load(Membership(VOTERS))
-    follower = Follower(replica, FakeTimers(), SMALL)
+    follower = Follower(replica, FakeTimers(), SMALL_LIMITS)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(replica.run)
         replica.set_term(max(terms, default=0))
@@ -46,9 +46,10 @@
         nursery.cancel_scope.cancel()
 
 
-# Entries at first, message (term, previous index and term, entries, commit
-# index), whether it is accepted, entries then, and commit index then.
-APPENDS = [
+# Terms of the initial entries; request (term, previous index, previous term, terms
+# of the entries, commit index); whether it is accepted; terms of the resulting
+# entries; resulting commit index.
+APPEND_CASES = [
     ([1, 1, 1], (1, 3, 1, [1], 2), True, [1, 1, 1, 1], 2),
     ([1, 1, 1], (1, 1, 1, [1], 2), True, [1, 1, 1], 2),
     ([1, 1, 1], (2, 1, 1, [2], 2), True, [1, 2], 2),
@@ -59,10 +60,10 @@
 ]
 
 
-@pytest.mark.parametrize("case", APPENDS)
-async def test_append(autojump_clock, case):
+@pytest.mark.parametrize("case", APPEND_CASES)
+async def test_append_request(autojump_clock, case):
     before, (term, index, previous, sent, commit), is_accepted, after, committed = case
-    async with _follower(before) as (follower, replica):
+    async with open_follower(before) as (follower, replica):
         request = pb.LogAppendRequest(
             header=_header(term),
             previous_index=index,
@@ -79,8 +80,9 @@
         assert replica.commit_index == committed
 
 
-# Vote requests (candidate, term, last index and term, target), and grants.
-VOTES = [
+# Requests (candidate, term, last index, last term, target disk) and whether each
+# vote is granted.
+VOTE_CASES = [
     ([("b", 2, 2, 1, "a")], [True]),
     ([("b", 2, 9, 1, "a"), ("c", 2, 9, 1, "a"), ("b", 2, 9, 1, "a")], [1, 0, 1]),
     ([("b", 2, 9, 1, "a"), ("c", 3, 9, 1, "a")], [True, True]),
@@ -90,9 +92,9 @@
 ]
 
 
-@pytest.mark.parametrize(("requests", "grants"), VOTES)
-async def test_vote(autojump_clock, requests, grants):
-    async with _follower([1, 1]) as (follower, _):
+@pytest.mark.parametrize(("requests", "grants"), VOTE_CASES)
+async def test_vote_request(autojump_clock, requests, grants):
+    async with open_follower([1, 1]) as (follower, _):
         for (sender, term, index, last, target), is_granted in zip(
             requests, grants, strict=True
         ):
@@ -104,13 +106,13 @@
 
 
 @pytest.mark.parametrize("terms", [[1, 1, 1, 1], [1, 2], [1, 3, 3, 3]])
-async def test_snapshot_in_place_of_entries(autojump_clock, terms):
-    """Entries after it stay only if the one at its position is the same."""
+async def test_installed_snapshot_and_later_entries(autojump_clock, terms):
+    """Entries after a snapshot stay only if the log has its last entry."""
     snapshot = pb.LogSnapshot(index=3, term=1)
     snapshot.machines.add(name="ledger", state=b"x\ny")
     snapshot.membership.CopyFrom(Membership(VOTERS[:2]).to_message())
     data = snapshot.SerializeToString()
-    async with _follower(terms) as (follower, replica):
+    async with open_follower(terms) as (follower, replica):
         request = pb.LogSnapshotRequest(header=_header(4), index=3, size=len(data))
         request.data = data[:10]
         assert (await follower.on_snapshot(request)).offset == 10
@@ -120,24 +122,27 @@
         assert replica.membership.voters == VOTERS[:2]
         expected = 4 if terms == [1, 1, 1, 1] else 3
         assert replica.log.last_index == expected
-        copy = Replica(replica.store._storage, "g", SMALL)
-        copy.machines.register("ledger", Ledger({}))
+        copy = Replica(replica.store._storage, "g", SMALL_LIMITS)
+        copy.machines.register("ledger", RecordingMachine({}))
         await copy.load(Membership(VOTERS))
         assert (copy.log.last_index, copy.membership) == (expected, replica.membership)
 
 
-async def test_older_snapshot_is_dropped():
+async def test_older_snapshot_is_not_saved():
     store = LogStore(FakeDisk(), "g", 1000)
     for index in (5, 9, 7):
         await store.save_snapshot(pb.LogSnapshot(index=index))
     assert (await store.load_snapshot()).index == 9
 
 
-async def test_candidate_is_bound_by_its_own_promise(autojump_clock):
-    """A leader that was heard during the pre-vote has this host's promise."""
-    async with _follower([1]) as (follower, replica):
+async def test_leader_contact_during_pre_vote_stops_campaign(autojump_clock):
+    """A leader that sends a message during the pre-vote may hold a lease.
+
+    A campaign that goes on would raise the term and depose that leader.
+    """
+    async with open_follower([1]) as (follower, replica):
         election = Election(
-            "g", replica, follower, None, FakeTimers(), random.Random(0), SMALL
+            "g", replica, follower, None, FakeTimers(), random.Random(0), SMALL_LIMITS
         )
 
         async def ask_votes(term: int, is_pre_vote: bool) -> bool:
--- a/tests/consensus/test_log.py
+++ b/tests/consensus/test_log.py
@@ -1,4 +1,4 @@
-"""Elections, leases, replication and the answers to proposals."""
+"""Elections, leases, replication and results of proposals."""
 
 import pytest
 import trio
@@ -11,22 +11,24 @@
 from pepperstep.errors import Code, Execution, Failure
 from pepperstep.fakes import FakeDisk, FakeTimers
 from pepperstep.proto import consensus_pb2 as pb
-from tests.consensus.cluster import SMALL, Ledger, open_cluster
+from tests.consensus.cluster import SMALL_LIMITS, RecordingMachine, open_cluster
 
 
 @pytest.mark.parametrize("count", [1, 3, 5])
-async def test_elects_and_commits(autojump_clock, count):
+async def test_elects_leader_and_commits(autojump_clock, count):
     async with open_cluster(count) as cluster:
         await cluster.start()
         leader = await cluster.wait_leader(10)
         for name in cluster.names:
-            assert (await cluster.propose(name)).endswith(b"c%d" % cluster.proposed)
+            assert (await cluster.propose(name)).endswith(
+                b"c%d" % cluster.proposal_count
+            )
         await cluster.propose_many(300)
-        await cluster.settle()
+        await cluster.heal_and_compare()
         assert cluster.leader == leader
 
 
-async def test_remote(autojump_clock):
+async def test_remote_client(autojump_clock):
     async with open_cluster() as cluster:
         await cluster.start()
         remote = await cluster.add_remote()
@@ -45,7 +47,7 @@
         assert caught.value.code == Code.NO_QUORUM
 
 
-async def test_idle_and_batches(autojump_clock):
+async def test_idle_traffic_and_write_batching(autojump_clock):
     async with open_cluster(tuning=Tuning()) as cluster:
         await cluster.start()
         await cluster.wait_leader()
@@ -55,15 +57,15 @@
         sent = cluster.network.sent - before
         assert sum(n for kind, n in sent.items() if kind.endswith("Request")) <= 1000
         assert set(sent) <= {"LogAppendRequest", "LogAppendReply"}
-        syncs = sum(host.disk.sync_count for host in cluster.up)
+        syncs = sum(host.disk.sync_count for host in cluster.running_hosts)
         await cluster.propose_many(500)
-        await cluster.settle()
-        syncs = sum(host.disk.sync_count for host in cluster.up) - syncs
+        await cluster.heal_and_compare()
+        syncs = sum(host.disk.sync_count for host in cluster.running_hosts) - syncs
         assert syncs < 60
 
 
 @pytest.mark.parametrize("fault", ["isolate", "pause", "crash"])
-async def test_old_leader_gives_way(autojump_clock, fault):
+async def test_unreachable_leader_is_replaced(autojump_clock, fault):
     async with open_cluster() as cluster:
         await cluster.start()
         old = await cluster.wait_leader()
@@ -83,8 +85,8 @@
         await cluster.propose_many(5, cluster.leader)
         await trio.sleep(60)
         if fault == "isolate":
-            # The next leader's log starts after positions that the old one has
-            # filled otherwise.
+            # The new leader's log overwrites entries that only the old leader has
+            # and for which proposals are pending there.
             await cluster.restart(cluster.leader)
             await cluster.wait_leader()
             assert cluster.consensus(old).leader != old
@@ -92,12 +94,15 @@
             with pytest.raises(Failure) as caught:
                 await cluster.propose(old, 2)
             assert caught.value.code == Code.NO_QUORUM
-        await cluster.settle()
+        await cluster.heal_and_compare()
         assert cluster.leader != old
 
 
-async def test_restarted_voters_keep_promise(autojump_clock):
-    """Both followers restart at once while the leader's lease still holds."""
+async def test_restarted_voters_respect_lease(autojump_clock):
+    """Both followers restart at once while the leader's lease still holds.
+
+    Followers that vote right after a restart would elect a second leader.
+    """
     async with open_cluster() as cluster:
         await cluster.start()
         leader = await cluster.wait_leader()
@@ -106,7 +111,7 @@
         followers = [name for name in cluster.names if name != leader]
         for name in followers:
             await cluster.restart(name)
-        # A candidate that doesn't wait at all would win within the lease.
+        # Without its election timeout, a candidate asks for votes within the lease.
         election = cluster.consensus(followers[0])._election
         election._wait_election_timeout = lambda: trio.sleep(0.01)
         start = trio.current_time()
@@ -114,8 +119,11 @@
         assert trio.current_time() - start >= Tuning().election_timeout
 
 
-async def test_candidates_without_patience(autojump_clock):
-    """A host that campaigns all the time, also while cut off, disturbs no leader."""
+async def test_eager_candidates_do_not_disrupt_leader(autojump_clock):
+    """Constant campaigns, also from an isolated host, must not depose a leader.
+
+    Without the pre-vote, a host that returns with a higher term would do so.
+    """
     async with open_cluster() as cluster:
         await cluster.start()
         leader = await cluster.wait_leader()
@@ -132,7 +140,7 @@
         assert (cluster.leader, cluster.consensus(leader).term) == (leader, term)
 
 
-async def test_doubled_and_lost_messages(autojump_clock):
+async def test_duplicated_and_lost_messages(autojump_clock):
     async with open_cluster() as cluster:
         await cluster.start()
         await cluster.wait_leader()
@@ -144,52 +152,55 @@
                 if number % 50 == 20:
                     nursery.start_soon(cluster.restart, cluster.names[number % 3])
                 await trio.sleep(0.05)
-        assert len(cluster.acknowledged) > 100
-        await cluster.settle()
+        assert len(cluster.results_by_command) > 100
+        await cluster.heal_and_compare()
 
 
-@pytest.mark.parametrize("place", ["leader", "follower"])
-async def test_acknowledged_is_synced(autojump_clock, place):
-    """With two hosts, each must have synced what is acknowledged."""
+@pytest.mark.parametrize("slow_member", ["leader", "follower"])
+async def test_commit_requires_sync_on_quorum(autojump_clock, slow_member):
+    """With two of three hosts left, a commit needs the sync of both."""
     async with open_cluster() as cluster:
         await cluster.start()
         leader = await cluster.wait_leader()
         follower, gone = (name for name in cluster.names if name != leader)
         cluster.crash(gone)
-        name = leader if place == "leader" else follower
-        cluster.hosts[name].life.delay = 5
+        name = leader if slow_member == "leader" else follower
+        cluster.hosts[name].live_disk.sync_delay = 5
         with pytest.raises(Failure):
             await cluster.propose(leader, 1)
-        await cluster.settle()
+        await cluster.heal_and_compare()
 
 
-async def test_redundant_with_own_disk(autojump_clock):
-    """The followers' disks are enough for a commit, not for full redundancy."""
+async def test_redundancy_includes_leader_disk(autojump_clock):
+    """The followers' disks suffice for a commit, but not for redundancy."""
     async with open_cluster() as cluster:
         await cluster.start()
         leader = await cluster.wait_leader()
         await cluster.wait_until(cluster.is_redundant)
-        cluster.hosts[leader].life.delay = 5
+        cluster.hosts[leader].live_disk.sync_delay = 5
         await cluster.propose(leader, 1)
         assert not cluster.is_redundant()
-        await cluster.settle()
+        await cluster.heal_and_compare()
 
 
-async def test_vote_is_synced(autojump_clock):
+async def test_vote_requires_sync(autojump_clock):
     async with open_cluster() as cluster:
         await cluster.start()
         leader = await cluster.wait_leader()
         voter, other = (name for name in cluster.names if name != leader)
         cluster.crash(leader)
-        cluster.hosts[voter].life.delay = 10
+        cluster.hosts[voter].live_disk.sync_delay = 10
         await trio.sleep(9)
         assert cluster.consensus(other)._leadership is None
         assert cluster.consensus(voter)._leadership is None
-        await cluster.settle()
+        await cluster.heal_and_compare()
 
 
-async def test_leader_is_current(autojump_clock):
-    """A leader that hasn't applied all earlier commits doesn't act as one."""
+async def test_leader_applies_earlier_commits_first(autojump_clock):
+    """A leader isn't ready before it has applied all earlier commits.
+
+    Messages with single entries delay the new leader's first commit.
+    """
     async with open_cluster(tuning=Tuning(max_batch_entries=1)) as cluster:
         await cluster.start()
         leader = await cluster.wait_leader()
@@ -200,20 +211,23 @@
         cluster.crash(good)
         await cluster.start(late, good)
         assert await cluster.wait_leader() == good
-        assert len(cluster.hosts[good].ledger.commands) == 200
-        await cluster.settle()
+        assert len(cluster.hosts[good].machine.commands) == 200
+        await cluster.heal_and_compare()
+
 
+async def test_earlier_term_entries_are_not_committed_alone():
+    """Entries of an earlier term are committed only with one of the current term.
 
-async def test_entries_of_earlier_terms():
-    """Their count alone commits nothing; an entry of the own term does."""
-    replica = Replica(FakeDisk(), "g", SMALL)
+    Otherwise, a later leader could overwrite committed entries.
+    """
+    replica = Replica(FakeDisk(), "g", SMALL_LIMITS)
     replica.identity = Identity("a", "1")
     voters = tuple(Identity(name, "1") for name in "abc")
     replica.log.set_membership(0, Membership(voters))
     entry = pb.LogEntry(term=1, proposal=pb.LogProposal(name="ledger"))
     replica.log.append([entry, entry])
     replica.term = 2
-    leadership = Leadership(replica, FakeTimers(), SMALL, None, None)
+    leadership = Leadership(replica, FakeTimers(), SMALL_LIMITS, None, None)
     for voter in voters[1:]:
         leadership.progress[voter] = Progress(voter, 3, match_index=2)
     leadership.handle_progress()
@@ -226,8 +240,8 @@
 
 
 @pytest.mark.parametrize("missed", [100, 1500])
-@pytest.mark.parametrize("tuning", [SMALL, Tuning()])
-async def test_catches_up(autojump_clock, missed, tuning):
+@pytest.mark.parametrize("tuning", [SMALL_LIMITS, Tuning()])
+async def test_lagging_follower_catches_up(autojump_clock, missed, tuning):
     async with open_cluster(tuning=tuning) as cluster:
         await cluster.start()
         leader = await cluster.wait_leader()
@@ -235,11 +249,11 @@
         cluster.crash(late)
         await cluster.propose_many(missed)
         await cluster.start(late)
-        await cluster.settle(20)
-        assert len(cluster.hosts[late].ledger.commands) == missed + 1
+        await cluster.heal_and_compare(20)
+        assert len(cluster.hosts[late].machine.commands) == missed + 1
         has_snapshot = cluster.network.sent["LogSnapshotRequest"] > 2
-        assert has_snapshot == (tuning is SMALL)
-        logs = [host.consensus._replica.log for host in cluster.up]
+        assert has_snapshot == (tuning is SMALL_LIMITS)
+        logs = [host.consensus._replica.log for host in cluster.running_hosts]
         held = max(log.last_index - log.base_index for log in logs)
         assert held <= tuning.snapshot_entries + tuning.trailing_entries
 
@@ -251,24 +265,27 @@
     )
 
 
-def test_repeats_within_and_beyond_the_table():
+def test_duplicate_proposals_with_kept_and_evicted_results():
     machines = StateMachines(max_sessions=3, max_session_bytes=1000)
-    machines.register("ledger", Ledger({}))
+    machines.register("ledger", RecordingMachine({}))
     first = [machines.apply(number, _proposal(number)) for number in range(1, 4)]
     assert [machines.apply(9, _proposal(n)) for n in range(1, 4)] == first
     machines.apply(10, _proposal(10, known_index=9))
     copy = StateMachines(max_sessions=3, max_session_bytes=1000)
-    copy.register("ledger", Ledger({}))
+    copy.register("ledger", RecordingMachine({}))
     copy.restore(machines.snapshot())
     for each in (machines, copy):
-        # The answer to c1 is forgotten, but it isn't carried out again.
+        # The result of c1 was evicted, but c1 isn't applied again.
         assert each.apply(11, _proposal(1)).result is None
         assert each.apply(12, _proposal(2)) == first[1]
         assert each.apply(13, _proposal(13, known_index=12)).result == b"5:c13"
 
 
-async def test_resend_gets_first_answer(autojump_clock):
-    """After changes of leader, restarts, a snapshot and a lost disk."""
+async def test_resent_proposal_gets_first_result(autojump_clock):
+    """A resent proposal isn't applied again after any of several faults.
+
+    These are changes of leader, restarts, a snapshot and lost disks.
+    """
     async with open_cluster() as cluster:
         await cluster.start()
         remote = await cluster.add_remote()
@@ -286,10 +303,10 @@
                 await cluster.restart(leader, is_disk_lost=step % 2 == 1)
             await cluster.wait_until(cluster.is_redundant)
             assert await resend(proposal, trio.current_time() + 20) == b"1:x"
-        await cluster.settle()
+        await cluster.heal_and_compare()
 
 
-async def test_stale_proposer(autojump_clock):
+async def test_possibly_evicted_proposal_fails(autojump_clock):
     tuning = Tuning(max_sessions=4)
     async with open_cluster(tuning=tuning) as cluster:
         await cluster.start()
@@ -300,9 +317,9 @@
         for _ in range(10):
             await cluster.propose_many(1)
         with pytest.raises(Failure) as caught:
-            # It may have come before, and its answer be forgotten.
+            # The proposal may have been applied and its result evicted.
             await remote._forwarder.propose(
                 pb.LogProposal(id=b"?", name="ledger", command=b"?"), 1e9, True
             )
         assert caught.value.execution == Execution.MAY_HAVE_RUN
-        await cluster.settle()
+        await cluster.heal_and_compare()
--- a/tests/consensus/test_schedules.py
+++ b/tests/consensus/test_schedules.py
@@ -1,4 +1,4 @@
-"""Generated faults at any moment; the cluster checks what must always hold."""
+"""Random schedules of faults; `Cluster` checks Raft's safety properties."""
 
 import trio
 import trio.testing
@@ -6,37 +6,37 @@
 
 from tests.consensus.cluster import Cluster, open_cluster
 
-PLACES = st.integers(0, 4)
+HOST_INDEXES = st.integers(0, 4)
 STEPS = st.one_of(
-    st.tuples(st.just("propose"), PLACES, st.integers(1, 30)),
-    st.tuples(st.just("propose"), PLACES, st.integers(1, 3)),
-    st.tuples(st.just("crash"), PLACES, st.integers(0, 300)),
-    st.tuples(st.just("crash_at"), PLACES, st.integers(0, 12)),
-    st.tuples(st.just("start"), PLACES, st.just(0)),
-    st.tuples(st.just("lose_disk"), PLACES, st.just(0)),
-    st.tuples(st.just("isolate"), PLACES, st.just(0)),
-    st.tuples(st.just("cut"), PLACES, PLACES),
+    st.tuples(st.just("propose"), HOST_INDEXES, st.integers(1, 30)),
+    st.tuples(st.just("propose"), HOST_INDEXES, st.integers(1, 3)),
+    st.tuples(st.just("crash"), HOST_INDEXES, st.integers(0, 300)),
+    st.tuples(st.just("crash_at"), HOST_INDEXES, st.integers(0, 12)),
+    st.tuples(st.just("start"), HOST_INDEXES, st.just(0)),
+    st.tuples(st.just("lose_disk"), HOST_INDEXES, st.just(0)),
+    st.tuples(st.just("isolate"), HOST_INDEXES, st.just(0)),
+    st.tuples(st.just("cut"), HOST_INDEXES, HOST_INDEXES),
     st.tuples(st.just("heal"), st.just(0), st.just(0)),
-    st.tuples(st.just("pause"), PLACES, st.just(0)),
-    st.tuples(st.just("resume"), PLACES, st.just(0)),
+    st.tuples(st.just("pause"), HOST_INDEXES, st.just(0)),
+    st.tuples(st.just("resume"), HOST_INDEXES, st.just(0)),
     st.tuples(st.just("trouble"), st.integers(0, 3), st.integers(0, 3)),
-    st.tuples(st.just("slow_disk"), PLACES, st.integers(0, 3)),
+    st.tuples(st.just("slow_disk"), HOST_INDEXES, st.integers(0, 3)),
     st.tuples(st.just("repeat_late"), st.just(0), st.integers(0, 99)),
     st.tuples(st.just("wait"), st.just(0), st.integers(1, 40)),
 )
 
 
 class Schedule:
-    """Carries out steps on a cluster."""
+    """Runs the steps of a schedule on a cluster."""
 
     def __init__(self, cluster: Cluster, nursery: trio.Nursery):
         self._cluster = cluster
         self._nursery = nursery
         self._lost = 0
 
-    async def take(self, kind: str, place: int, number: int) -> None:
+    async def run_step(self, kind: str, host_index: int, number: int) -> None:
         names = self._cluster.names
-        name = names[place % len(names)]
+        name = names[host_index % len(names)]
         await getattr(self, f"_{kind}")(name, number)
         await trio.sleep(0.01 * number if kind != "wait" else 0.1 * number)
 
@@ -51,14 +51,14 @@
 
     async def _crash_at(self, name: str, number: int) -> None:
         if self._cluster.hosts[name].is_up:
-            self._cluster.crash_at(name, number, torn_bytes=number * 7)
+            self._cluster.crash_before_write(name, number, torn_bytes=number * 7)
 
     async def _start(self, name: str, number: int) -> None:
         if not self._cluster.hosts[name].is_up:
             await self._cluster.start(name)
 
     async def _lose_disk(self, name: str, number: int) -> None:
-        """Lose a disk, but never a majority of them before the repair."""
+        """Lose a disk, but never a majority before the group is redundant again."""
         cluster = self._cluster
         if cluster.is_redundant():
             self._lost = 0
@@ -90,11 +90,11 @@
         network.max_delay = (0.0005, 0.005, 0.05, 0.3)[number]
 
     async def _slow_disk(self, name: str, number: int) -> None:
-        life = self._cluster.hosts[name].life
-        life.delay = (0.001, 0.05, 0.4, 2.0)[number]
+        live_disk = self._cluster.hosts[name].live_disk
+        live_disk.sync_delay = (0.001, 0.05, 0.4, 2.0)[number]
 
     async def _repeat_late(self, name: str, number: int) -> None:
-        self._cluster.repeat_late(number)
+        self._cluster.replay_message(number)
 
     async def _wait(self, name: str, number: int) -> None:
         pass
@@ -107,12 +107,12 @@
         async with trio.open_nursery() as nursery:
             schedule = Schedule(cluster, nursery)
             for step in steps:
-                await schedule.take(*step)
-        await cluster.settle()
+                await schedule.run_step(*step)
+        await cluster.heal_and_compare()
 
 
 def run_schedule(count: int, steps: list[tuple[str, int, int]], seed: int) -> None:
-    """Run steps in virtual time."""
+    """Run a schedule in virtual time."""
     clock = trio.testing.MockClock(autojump_threshold=0)
     trio.run(_run, count, steps, seed, clock=clock)
 
