--- a/src/pepperstep/claims/client.py
+++ b/src/pepperstep/claims/client.py
@@ -1,8 +1,8 @@
 """Client for the claims of one host, which sends them to the log in batches.
 
-A claim that isn't known to be granted before its caller's timeout is released.
-The release is sent until it is committed. It prevents the grant even if it is
-committed before the claim.
+A claim is released unless its caller receives the grant, which fails by a refusal,
+a timeout or a cancellation. The release is sent until it is committed. It prevents
+a later grant even if it is committed before the claim.
 """
 
 from collections import deque
--- a/src/pepperstep/consensus/bootstrap.py
+++ b/src/pepperstep/consensus/bootstrap.py
@@ -27,7 +27,11 @@
 
 @dataclass(frozen=True, slots=True)
 class _PeerState:
-    """State that another host reports."""
+    """State that another host reports.
+
+    `initial` are the initial voters of its log. `pledge` are those that it has
+    stored its agreement to while it has no log.
+    """
 
     identity: Identity
     is_member: bool
--- a/tests/claims/test_claim_machine.py
+++ b/tests/claims/test_claim_machine.py
@@ -1,4 +1,4 @@
-"""Any order of claims, ends, fences, repeats and restarts at the machine."""
+"""Random orders of claims, finishes, fences, repeated commands and restarts."""
 
 from dataclasses import dataclass, field
 
@@ -18,13 +18,13 @@
 
 @dataclass
 class Run:
-    """What the hosts know while they drive one machine."""
+    """State machine under test and what its hosts know."""
 
     machine: ClaimMachine = field(default_factory=ClaimMachine)
     commands: list[bytes] = field(default_factory=list)
-    # Claim ids that may send their request, with the key of each.
+    # Keys of granted claims by claim id.
     granted: dict[str, str] = field(default_factory=dict)
-    # Claim ids that surely sent nothing.
+    # Ids of granted claims whose request was not sent.
     ended: set[str] = field(default_factory=set)
     fenced: set[str] = field(default_factory=set)
     outcomes: dict[str, str] = field(default_factory=dict)
@@ -73,7 +73,7 @@
         self.commit(command)
 
     def end_granted(self, kind):
-        """Let the owner of an open claim end it."""
+        """Let an owner finish its open claim."""
         for claim_id, key in self.granted.items():
             if claim_id not in self.outcomes:
                 self.outcomes[claim_id] = kind
@@ -102,7 +102,7 @@
                 if held == key and claim_id not in self.ended
             ]
             assert len(holders) <= 1
-        # Nothing is held by who gave it up: a key is free or its claim known.
+        # A key is either free or held by a granted claim that wasn't released.
         for (_, key), record in self.machine._claims.items():
             assert self.granted[record.claim_id] == key
             assert record.claim_id not in self.ended
--- a/tests/claims/test_succession.py
+++ b/tests/claims/test_takeover.py
@@ -1,4 +1,7 @@
-"""A request's later owner claims in place of the earlier one, whatever is late."""
+"""A request's new owner replaces the claim of the previous one.
+
+This must hold although messages of the previous owner arrive late.
+"""
 
 import itertools
 
@@ -10,8 +13,8 @@
 EPOCHS = {"first": 1, "second": 2}
 
 
-class Log:
-    """Commits claims and ends of one key, and knows who may send."""
+class ClaimLog:
+    """Commits claims and finishes of one key."""
 
     def __init__(self):
         self.machine = ClaimMachine()
@@ -39,26 +42,26 @@
         self.machine.apply(next(self.numbers), command.SerializeToString())
 
 
-def test_later_owner_gets_the_claim():
-    log = Log()
+def test_new_owner_replaces_an_open_claim():
+    log = ClaimLog()
     answers = [log.claim(each) for each in ("first", "second", "first", "second")]
     granted, released = ClaimStatus.GRANTED, ClaimStatus.RELEASED
     assert answers == [granted, granted, released, granted]
-    # What the earlier owner still sends frees nothing.
+    # A late finish of the previous owner doesn't free the key.
     log.finish("first", OutcomeKind.NOT_RUN)
     assert log.claim("other", "s") == ClaimStatus.HELD
 
 
 @pytest.mark.parametrize("kind", [OutcomeKind.ANSWERED, OutcomeKind.MAY_HAVE_RUN])
-def test_ended_claim_stays(kind):
-    log = Log()
+def test_claim_with_an_outcome_is_not_replaced(kind):
+    log = ClaimLog()
     log.claim("first")
     log.finish("first", kind)
     assert log.claim("second") == ClaimStatus.HELD
 
 
-def test_late_claim_of_the_earlier_owner_is_not_granted():
-    log = Log()
+def test_late_claim_of_the_previous_owner_is_not_granted():
+    log = ClaimLog()
     assert log.claim("second") == ClaimStatus.GRANTED
     assert log.claim("first") == ClaimStatus.HELD
     log.finish("second", OutcomeKind.NOT_RUN)
