--- a/src/pepperstep/claims/client.py
+++ b/src/pepperstep/claims/client.py
@@ -1,8 +1,8 @@
 """Client for the claims of one host, which sends them to the log in batches.
 
-A claim is released unless its caller receives the grant, which fails by a refusal,
-a timeout or a cancellation. The release is sent until it is committed. It prevents
-a later grant even if it is committed before the claim.
+If a refusal, a timeout or a cancellation keeps the caller from receiving a grant,
+its claim is released. The release is sent until it is committed, and it prevents a
+later grant even if it is committed before the claim.
 """
 
 from collections import deque
--- a/src/pepperstep/consensus/forwarding.py
+++ b/src/pepperstep/consensus/forwarding.py
@@ -15,8 +15,8 @@
 __all__ = ["Forwarder", "new_proposal", "no_quorum_failure"]
 
 _PROPOSAL_ID_BYTES = 16
-# Concurrent messages with proposals. Each occupies a server thread at the leader
-# until its proposals are committed.
+# Number of tasks that send proposals. Each message occupies a server thread at the
+# leader until its proposals are committed.
 _SENDER_COUNT = 2
 _MAX_BATCH_PROPOSALS = 512
 _MAX_BATCH_BYTES = 512 * 1024
--- a/tests/claims/test_claim_machine.py
+++ b/tests/claims/test_claim_machine.py
@@ -125,7 +125,7 @@
     run.join()
     for kind, *arguments in steps:
         if kind == "repeat":
-            # A command that comes once more has no second effect.
+            # A repeated command has no further effect.
             number = arguments[0] % len(run.commands)
             run.machine.apply(0, run.commands[number])
         elif kind == "restart":
--- a/tests/consensus/cluster.py
+++ b/tests/consensus/cluster.py
@@ -252,7 +252,7 @@
 
     def _compare_hosts(self) -> None:
         command_lists = [host.machine.commands for host in self.running_hosts]
-        assert all(commands == command_lists[0] for commands in command_lists), (
+        assert all(recorded == command_lists[0] for recorded in command_lists), (
             "States differ."
         )
         assert len(set(command_lists[0])) == len(command_lists[0]), "Applied twice."
