--- a/src/pepperstep/consensus/leadership.py
+++ b/src/pepperstep/consensus/leadership.py
@@ -96,7 +96,7 @@
         """Seconds until another host can be elected, 0 without a lease."""
         if not self.is_active:
             return 0.0
-        ends_at = self.quorum_contact_at + self._tuning.lease_duration
+        ends_at = self.quorum_contact_at + self._tuning.lease
         return max(0.0, ends_at - self._timers.now())
 
     @property
--- a/src/pepperstep/consensus/tuning.py
+++ b/src/pepperstep/consensus/tuning.py
@@ -48,7 +48,7 @@
     max_session_bytes: int = 16 * _MEGABYTE
 
     @property
-    def lease_duration(self) -> float:
+    def lease(self) -> float:
         """Seconds for which an answer of a quorum extends the leader's lease.
 
         The election timeout is shortened for a follower whose clock runs fast
