--- a/proofs/mechanisms.py
+++ b/proofs/mechanisms.py
@@ -172,7 +172,7 @@
         5,
         "leaving holds for good within a start",
         "membership/records.py",
-        "    is_leaving = known.upstream.is_leaving or news.upstream.is_leaving\n",
+        "    is_leaving = known.upstream.is_leaving or update.upstream.is_leaving\n",
         "    is_leaving = newest.upstream.is_leaving\n",
         (
             "tests/membership/test_upstreams.py"
--- a/src/pepperstep/membership/__init__.py
+++ b/src/pepperstep/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Hosts that run the daemon, and upstreams that have announced themselves."""
+"""Membership of the hosts that run the daemon, and the registry of upstreams."""
 
 from pepperstep.membership.members import Member, MemberChange, MemberState
 from pepperstep.membership.membership import Membership, Seed
--- a/src/pepperstep/membership/exchange.py
+++ b/src/pepperstep/membership/exchange.py
@@ -1,11 +1,11 @@
-"""Messages of the membership, each of which carries updates both ways."""
+"""Membership messages; requests and answers piggyback member updates."""
 
 from collections.abc import Iterable
 
 from pepperstep.errors import Failure
 from pepperstep.membership.health import LocalHealth
 from pepperstep.membership.members import (
-    BUCKETS,
+    BUCKET_COUNT,
     Member,
     MemberTable,
 )
@@ -21,12 +21,12 @@
 
 __all__ = ["Exchange"]
 
-# Answers of a sync that is too large for one message.
+# Maximum request rounds of one sync, whose tables may not fit in one message.
 _MAX_SYNC_ROUNDS = 64
 
 
 class Exchange:
-    """Calls to other members and handlers for theirs."""
+    """Sends membership messages to other hosts and handles theirs."""
 
     def __init__(
         self,
@@ -43,11 +43,11 @@
         self._peers = peers
         self._timers = timers
         self._settings = settings
-        # Hosts that asked for this host's settings.
-        self._strangers: set[str] = set()
+        # Hosts that don't know this host and need a sync with it.
+        self._sync_requests: set[str] = set()
 
     def register(self) -> None:
-        """Take the members' messages from now on."""
+        """Register the handlers of membership messages."""
         self._peers.handle(pb.Ping, self._on_ping)
         self._peers.handle(pb.IndirectPing, self._on_indirect_ping)
         self._peers.handle(pb.Sync, self._on_sync)
@@ -59,18 +59,23 @@
         if answer is None:
             return False
         if answer.is_unknown:
-            self._strangers.add(peer)
+            self._sync_requests.add(peer)
         return True
 
-    async def ask_helper(self, helper: str, target: str, timeout: float) -> bool | None:
-        """Return whether `helper` reaches `target`, None without an answer."""
+    async def ping_indirectly(
+        self, helper: str, target: str, timeout: float
+    ) -> bool | None:
+        """Return whether `helper` reaches `target`, None if `helper` doesn't answer."""
         message = pb.IndirectPing(target=target, updates=self._queue.take())
         answer = await self._call(helper, message, timeout)
         return None if answer is None else answer.is_reached
 
     async def sync(self, peer: str, timeout: float) -> str:
-        """Merge all that `peer` knows; return its name, "" without an answer."""
-        self._strangers.discard(peer)
+        """Merge the tables of `peer` and this host.
+
+        Return the name of `peer`, "" if it didn't answer.
+        """
+        self._sync_requests.discard(peer)
         updates = [to_update(self._table.own, has_host=True)]
         name = ""
         for _ in range(_MAX_SYNC_ROUNDS):
@@ -84,10 +89,10 @@
                 break
         return name
 
-    def take_strangers(self) -> list[str]:
-        """Return the hosts that asked for a sync since the last call."""
-        names = sorted(self._strangers)
-        self._strangers.clear()
+    def take_sync_requests(self) -> list[str]:
+        """Return and clear the names of the hosts that asked for a sync."""
+        names = sorted(self._sync_requests)
+        self._sync_requests.clear()
         return names
 
     async def _call(self, peer: str, message, timeout: float):
@@ -95,7 +100,7 @@
             answer = await self._peers.call(peer, message, timeout)
         except Failure:
             return None
-        self._health.note_contact()
+        self._health.record_contact()
         self._merge(answer.updates)
         return answer
 
@@ -117,11 +122,11 @@
         self._merge(message.updates)
         pairs = enumerate(zip(message.digests, self._table.digests, strict=False))
         buckets = {index for index, (theirs, ours) in pairs if theirs != ours}
-        if len(message.digests) != BUCKETS:
-            buckets = set(range(BUCKETS))
+        if len(message.digests) != BUCKET_COUNT:
+            buckets = set(range(BUCKET_COUNT))
         members = sorted(self._table.in_buckets(buckets), key=lambda m: m.is_gone)
-        updates, left = fit_updates(members, self._settings.max_sync_bytes, True)
-        is_partial = any(not member.is_gone for member in left)
+        updates, remaining = fit_updates(members, self._settings.max_sync_bytes, True)
+        is_partial = any(not member.is_gone for member in remaining)
         return pb.SyncAnswer(
             responder=self._table.own.name,
             updates=updates,
@@ -136,7 +141,7 @@
                 self._table.merge(member, now)
 
     def _newer_than(self, theirs: Iterable[pb.MemberUpdate]) -> list[pb.MemberUpdate]:
-        """Return our records of members of whom `theirs` are older."""
+        """Return updates for the records that are newer here than in `theirs`."""
         newer: list[Member] = []
         for update in theirs:
             known = self._table.get(update.name)
--- a/src/pepperstep/membership/health.py
+++ b/src/pepperstep/membership/health.py
@@ -1,18 +1,18 @@
-"""How far this host can trust its own view of the others."""
+"""Local health: whether this host itself is slow, paused or cut off."""
 
 from pepperstep.ports import Timers
 
 __all__ = ["LocalHealth"]
 
 _MAX_SCORE = 8
-# Seconds without any answer after which this host counts as cut off.
-_CONTACT_TIMEOUT = 1.5
-# Seconds that a wait may be late before the process counts as paused.
-_MAX_DELAY = 0.5
+# Without any answer for this long, this host considers itself cut off.
+_CONTACT_TIMEOUT_SECONDS = 1.5
+# A timer that fires later than this means that the process was paused.
+_MAX_DELAY_SECONDS = 0.5
 
 
 class LocalHealth:
-    """Answers that this host got, which prove that it is not the one cut off."""
+    """Score of this host's failed probes, and the time of its last contact."""
 
     def __init__(self, timers: Timers):
         self._timers = timers
@@ -20,31 +20,31 @@
         self._last_contact = timers.now()
 
     @property
-    def factor(self) -> int:
-        """What timeouts are multiplied by, 1 for a healthy host."""
+    def timeout_factor(self) -> int:
+        """Factor by which to multiply timeouts, 1 for a healthy host."""
         return 1 + self._score
 
     @property
     def is_cut_off(self) -> bool:
-        """Whether nobody has answered this host lately."""
-        return self._timers.now() - self._last_contact > _CONTACT_TIMEOUT
+        """Whether no other host has answered this host recently."""
+        return self._timers.now() - self._last_contact > _CONTACT_TIMEOUT_SECONDS
 
     def has_contact_since(self, time: float) -> bool:
         """Return whether another host answered after `time`."""
         return self._last_contact > time
 
     def was_paused(self, due: float) -> bool:
-        """Return whether what was due at `due` comes much too late."""
-        return self._timers.now() - due > _MAX_DELAY * self.factor
+        """Return whether a timer that was due at `due` fires much too late."""
+        return self._timers.now() - due > _MAX_DELAY_SECONDS * self.timeout_factor
 
-    def note_contact(self) -> None:
-        """Take in that another host has answered a call."""
+    def record_contact(self) -> None:
+        """Record that another host has answered a call."""
         self._last_contact = self._timers.now()
 
-    def note_success(self) -> None:
-        """Take in that a probe was answered."""
+    def record_success(self) -> None:
+        """Record that a probe was answered."""
         self._score = max(0, self._score - 1)
 
-    def note_failure(self) -> None:
-        """Take in that a probe failed and nobody answered meanwhile."""
+    def record_failure(self) -> None:
+        """Record that a probe failed without an answer from any helper."""
         self._score = min(_MAX_SCORE, self._score + 1)
--- a/src/pepperstep/membership/membership.py
+++ b/src/pepperstep/membership/membership.py
@@ -1,4 +1,4 @@
-"""Membership of the hosts that run the daemon."""
+"""SWIM membership of the hosts that run the daemon: join, gossip, sync and leave."""
 
 import random
 from collections.abc import Callable, Iterable
@@ -24,26 +24,26 @@
 
 __all__ = ["Membership", "Seed"]
 
-_SYNC_TIMEOUT = 1.0
-# Hosts that are told at once of a leave.
+_SYNC_TIMEOUT_SECONDS = 1.0
+# Hosts to which a leaving or departing host announces its state directly.
 _LEAVE_FANOUT = 8
 
 
 @dataclass(frozen=True, slots=True)
 class Seed:
-    """A host to join through; `name` is "" where only the address is known."""
+    """A host to join through; `name` is "" if only the address is known."""
 
     address: str
     name: str = ""
 
     @property
     def peer(self) -> str:
-        """What the peer network knows the host by."""
+        """Identifier of the host in the peer network: its name or its address."""
         return self.name or self.address
 
 
 class Membership:
-    """This host's view of all hosts, kept up by probes and updates."""
+    """This host's view of all hosts, maintained by probes, gossip and syncs."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
         self._rng = rng
         self._settings = settings
         self._peers = peers
-        # Name of each seed, "" until it is known.
+        # Name of each seed by its peer identifier, "" until the seed has answered.
         self._seeds = {seed.peer: seed.name for seed in seeds}
         for seed in seeds:
             peers.set_address(seed.peer, seed.address)
@@ -88,8 +88,8 @@
     ) -> "Membership":
         """Return the membership of `host`.
 
-        `incarnation` must be greater than in each earlier life of the host;
-        it is the Unix time in milliseconds by default.
+        `incarnation` must be greater than after any earlier start of the host's
+        process; the default is the Unix time in milliseconds.
         """
         life = int(timers.wall() * 1000) if incarnation is None else incarnation
         own = Member(host, life)
@@ -98,20 +98,20 @@
 
     @property
     def own(self) -> Member:
-        """This host, with its present incarnation."""
+        """This host's member record, with its current incarnation."""
         return self._table.own
 
     @property
     def is_cut_off(self) -> bool:
-        """Whether no other host answers, so that the view can't be trusted."""
+        """Whether no other host answers, so that this host's view may be outdated."""
         return bool(self._table.others()) and self._health.is_cut_off
 
     def hosts(self) -> list[Host]:
-        """Return the hosts that serve, leaving and suspected ones included."""
+        """Return the serving hosts, including leaving and suspected ones."""
         return [member.host for member in self._table.all() if not member.is_gone]
 
     def entry_hosts(self) -> list[Host]:
-        """Return the entry hosts that take new work, this one included."""
+        """Return the entry hosts that accept new work, including this host."""
         return [
             member.host
             for member in self._table.all()
@@ -119,16 +119,19 @@
         ]
 
     def members(self) -> list[Member]:
-        """Return all members, also those that are gone and not yet forgotten."""
+        """Return all members, including dead and departed ones until they expire."""
         return self._table.all()
 
     def state_of(self, name: str) -> MemberState | None:
-        """Return the state of a host, None if it isn't known."""
+        """Return the state of a host, None if the host is unknown."""
         member = self._table.get(name)
         return None if member is None else member.state
 
     def is_gone(self, host: str, incarnation: int) -> bool:
-        """Whether this life of the host's process has ended, as far as known."""
+        """Whether the process of `host` that started with `incarnation` has ended.
+
+        False for an unknown host.
+        """
         member = self._table.get(host)
         if member is None:
             return False
@@ -139,7 +142,7 @@
         self._table.subscribe(listener)
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED) -> None:
-        """Join, then watch the others until cancelled."""
+        """Join the cluster, then probe and gossip until cancelled."""
         self._exchange.register()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._detector.run)
@@ -150,16 +153,16 @@
             task_status.started()
 
     async def leave(self) -> None:
-        """Announce that this host serves on but is not to be chosen any more."""
+        """Announce that this host accepts no new work but is still serving."""
         self._table.set_own_state(MemberState.LEAVING, self._timers.now())
-        await self._tell_some()
+        await self._announce_own_state()
 
     async def depart(self) -> None:
         """Announce that this host has stopped serving."""
         self._table.set_own_state(MemberState.LEFT, self._timers.now())
-        await self._tell_some()
+        await self._announce_own_state()
 
-    async def _tell_some(self) -> None:
+    async def _announce_own_state(self) -> None:
         others = self._table.others(self.own.host.region)
         chosen = self._rng.sample(others, min(_LEAVE_FANOUT, len(others)))
         async with trio.open_nursery() as nursery:
@@ -167,7 +170,7 @@
                 nursery.start_soon(self._ping, member)
 
     async def _gossip(self) -> None:
-        """Pass on news at once."""
+        """Send pending updates to random members each gossip period."""
         async with trio.open_nursery() as nursery:
             while True:
                 await self._queue.wait()
@@ -185,7 +188,7 @@
         count = min(self._settings.gossip_fanout, len(trusted))
         targets = self._rng.sample(trusted, count)
         if suspects:
-            # A suspect must learn of it in time to refute.
+            # A suspect must learn of the suspicion in time to refute it.
             targets.append(self._rng.choice(suspects))
         return targets
 
@@ -195,10 +198,10 @@
             others = self._table.others(self.own.host.region)
             if others:
                 peer = self._rng.choice(others).name
-                await self._exchange.sync(peer, _SYNC_TIMEOUT)
+                await self._exchange.sync(peer, _SYNC_TIMEOUT_SECONDS)
 
     async def _bridge_regions(self) -> None:
-        """Exchange updates with another region, if this host is a bridge."""
+        """Sync periodically with another region if this host is a bridge."""
         async for _ in self._timers.subscribe(self._settings.bridge_period, 0.5):
             regions = {member.host.region for member in self._table.others()}
             regions.discard(self.own.host.region)
@@ -206,10 +209,10 @@
                 continue
             region = self._rng.choice(sorted(regions))
             peer = self._rng.choice(self._bridges(region))
-            await self._exchange.sync(peer, _SYNC_TIMEOUT)
+            await self._exchange.sync(peer, _SYNC_TIMEOUT_SECONDS)
 
     def _bridges(self, region: str) -> list[str]:
-        """Return the names of a region's bridges, the same for all hosts."""
+        """Return a region's bridges, picked by name hash so that all hosts agree."""
         members = [*self._table.others(region)]
         if region == self.own.host.region:
             members.append(self.own)
@@ -218,14 +221,14 @@
         return names[: self._settings.bridge_count]
 
     async def _join(self) -> None:
-        """Reach the seeds, and later those that are missing or dead here."""
+        """Sync with the seeds, then retry missing seeds and dead members."""
         await self._sync_all(list(self._seeds))
         async for _ in self._timers.subscribe(self._settings.rejoin_period, 0.5):
-            strangers = self._exchange.take_strangers()
+            peers_to_sync = self._exchange.take_sync_requests()
             missing = self._missing_peers()
             if missing:
-                strangers.append(self._rng.choice(missing))
-            await self._sync_all(strangers)
+                peers_to_sync.append(self._rng.choice(missing))
+            await self._sync_all(peers_to_sync)
 
     async def _sync_all(self, peers: list[str]) -> None:
         async with trio.open_nursery() as nursery:
@@ -233,7 +236,7 @@
                 nursery.start_soon(self._sync_with, peer)
 
     async def _sync_with(self, peer: str) -> None:
-        name = await self._exchange.sync(peer, _SYNC_TIMEOUT)
+        name = await self._exchange.sync(peer, _SYNC_TIMEOUT_SECONDS)
         if name and peer in self._seeds:
             self._seeds[peer] = name
         if name == self.own.name:
@@ -246,10 +249,12 @@
             for member in self._table.all()
             if member.state is MemberState.DEAD and member.host.region == region
         ]
-        seeds = [peer for peer, name in self._seeds.items() if not self._serves(name)]
+        seeds = [
+            peer for peer, name in self._seeds.items() if not self._is_serving(name)
+        ]
         return dead + seeds
 
-    def _serves(self, name: str) -> bool:
+    def _is_serving(self, name: str) -> bool:
         member = self._table.get(name)
         return member is not None and not member.is_gone
 
--- a/src/pepperstep/membership/records.py
+++ b/src/pepperstep/membership/records.py
@@ -1,8 +1,9 @@
-"""What is known of an upstream, and how two records of it merge.
+"""Records of upstreams, their merge rule and their messages.
 
-A greater epoch replaces all of an earlier one. Within an epoch the greater
-sequence number gives the content, while leaving and removal hold for good. So
-the order of messages, and repeats of them, make no difference.
+A record with a greater epoch replaces one with an earlier epoch. Within an epoch
+the content comes from the greater sequence number, while leaving and removal are
+permanent. The merge is therefore commutative and idempotent: reordered or
+repeated messages lead to the same record.
 """
 
 import math
@@ -19,80 +20,80 @@
     "description_hash",
     "from_message",
     "merge_records",
-    "stub",
+    "placeholder",
     "to_message",
     "to_version",
 ]
 
-_NANO = 1_000_000_000
-_MILLI = 1000
-# Age that stands for "never renewed".
+_NANOSECONDS_PER_SECOND = 1_000_000_000
+_MILLISECONDS_PER_SECOND = 1000
+# Age that means "never renewed".
 _MAX_AGE_MS = 2**32 - 1
 
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """An upstream with the number and the time of its last heartbeat."""
+    """An upstream with the sequence number and the time of its last heartbeat."""
 
     upstream: Upstream
     sequence: int
     is_removed: bool = False
-    # Monotonic time of this host at which the upstream surely held its lease.
+    # Lower bound of the time of the last heartbeat, on this host's monotonic clock.
     renewed_at: float = -math.inf
 
     @property
     def epoch(self) -> int:
-        """Epoch of the upstream's start."""
+        """Epoch of the upstream's process."""
         return self.upstream.epoch
 
     @property
     def number(self) -> tuple[int, int]:
-        """Epoch and sequence, which order the heartbeats."""
+        """Epoch and sequence number, which order an upstream's heartbeats."""
         return self.epoch, self.sequence
 
     @property
     def is_ending(self) -> bool:
-        """Whether this start of the upstream is to get nothing new any more."""
+        """Whether the upstream must get no new work in this epoch."""
         return self.upstream.is_leaving or self.is_removed
 
     @property
     def content(self) -> tuple[Upstream, bool]:
-        """All but load, number and time of heartbeats."""
+        """The record without load, sequence number and time of the heartbeat."""
         return replace(self.upstream, load=Load()), self.is_removed
 
 
-def merge_records(known: Record | None, news: Record) -> Record:
-    """Return what holds after both; the order of the two doesn't matter."""
-    if known is None or news.epoch > known.epoch:
-        return news
-    if news.epoch < known.epoch:
+def merge_records(known: Record | None, update: Record) -> Record:
+    """Return the merge of two records of an upstream, in either order."""
+    if known is None or update.epoch > known.epoch:
+        return update
+    if update.epoch < known.epoch:
         return known
-    newest = max(known, news, key=_order)
-    is_leaving = known.upstream.is_leaving or news.upstream.is_leaving
+    newest = max(known, update, key=_merge_order)
+    is_leaving = known.upstream.is_leaving or update.upstream.is_leaving
     return Record(
         upstream=replace(newest.upstream, is_leaving=is_leaving),
         sequence=newest.sequence,
-        is_removed=known.is_removed or news.is_removed,
-        renewed_at=max(known.renewed_at, news.renewed_at),
+        is_removed=known.is_removed or update.is_removed,
+        renewed_at=max(known.renewed_at, update.renewed_at),
     )
 
 
-def stub(name: str, epoch: int) -> Upstream:
-    """Return an upstream of which only name and epoch are known."""
+def placeholder(name: str, epoch: int) -> Upstream:
+    """Return an upstream of which only the name and the epoch are known."""
     return Upstream(name, epoch, "", UpstreamKind.SERVICE, "", "")
 
 
 def to_message(record: Record, now: float, is_full: bool) -> pb.UpstreamRecord:
     """Return the message for `record`, with its description if `is_full`."""
     upstream = record.upstream
-    description = _describe(upstream)
+    description = _to_description(upstream)
     return pb.UpstreamRecord(
         name=upstream.name,
         epoch=upstream.epoch,
         sequence=record.sequence,
         is_leaving=upstream.is_leaving,
         is_removed=record.is_removed,
-        load=_load_message(upstream.load),
+        load=_to_load(upstream.load),
         age_ms=age_ms(record, now),
         description_hash=_hash(description),
         description=description if is_full else None,
@@ -100,11 +101,11 @@
 
 
 def to_version(record: Record, now: float) -> pb.UpstreamVersion:
-    """Return what another host compares its own record with."""
+    """Return the version that another host compares with its own record."""
     return pb.UpstreamVersion(
         name=record.upstream.name,
         epoch=record.epoch,
-        description_hash=_hash(_describe(record.upstream)),
+        description_hash=_hash(_to_description(record.upstream)),
         is_leaving=record.upstream.is_leaving,
         is_removed=record.is_removed,
         age_ms=age_ms(record, now),
@@ -114,10 +115,10 @@
 def from_message(
     message: pb.UpstreamRecord, known: Record | None, sent_at: float | None
 ) -> Record | None:
-    """Return the record, None if the description is neither here nor there.
+    """Return the record, None if neither `message` nor `known` has its description.
 
-    `sent_at` is a monotonic time of this host before which the message can't
-    have been made; None renews no lease.
+    `sent_at` is the earliest time, on this host's monotonic clock, at which the
+    message can have been composed; with None the record renews no lease.
     """
     if message.HasField("description"):
         base = _from_description(message)
@@ -127,7 +128,7 @@
         return None
     renewed_at = -math.inf
     if sent_at is not None and message.age_ms < _MAX_AGE_MS:
-        renewed_at = sent_at - message.age_ms / _MILLI
+        renewed_at = sent_at - message.age_ms / _MILLISECONDS_PER_SECOND
     upstream = replace(
         base, load=_from_load(message.load), is_leaving=message.is_leaving
     )
@@ -138,18 +139,20 @@
     """Return the milliseconds since the last heartbeat, rounded up."""
     if record.renewed_at == -math.inf:
         return _MAX_AGE_MS
-    return min(_MAX_AGE_MS, math.ceil((now - record.renewed_at) * _MILLI))
+    return min(
+        _MAX_AGE_MS, math.ceil((now - record.renewed_at) * _MILLISECONDS_PER_SECOND)
+    )
 
 
 def description_hash(record: Record) -> int:
-    """Return a hash of what changes seldom."""
-    return _hash(_describe(record.upstream))
+    """Return a hash of the upstream's description, which changes rarely."""
+    return _hash(_to_description(record.upstream))
 
 
-def _order(record: Record) -> tuple[int, bytes]:
-    # The content decides where an upstream used a number twice.
-    load = _load_message(record.upstream.load)
-    content = _describe(record.upstream).SerializeToString(deterministic=True)
+def _merge_order(record: Record) -> tuple[int, bytes]:
+    # The content is the tie-breaker if an upstream used a sequence number twice.
+    load = _to_load(record.upstream.load)
+    content = _to_description(record.upstream).SerializeToString(deterministic=True)
     return record.sequence, content + load.SerializeToString(deterministic=True)
 
 
@@ -158,7 +161,7 @@
     return is_same_start and message.description_hash == description_hash(known)
 
 
-def _describe(upstream: Upstream) -> pb.UpstreamDescription:
+def _to_description(upstream: Upstream) -> pb.UpstreamDescription:
     models = sorted((m.model, m.adapter, m.version) for m in upstream.models)
     return pb.UpstreamDescription(
         address=upstream.address,
@@ -195,12 +198,12 @@
     )
 
 
-def _load_message(load: Load) -> pb.UpstreamLoad:
+def _to_load(load: Load) -> pb.UpstreamLoad:
     return pb.UpstreamLoad(
         running=load.running,
         waiting=load.waiting,
-        prefill_nanoseconds=round(load.prefill_seconds * _NANO),
-        decode_nanoseconds=round(load.decode_seconds * _NANO),
+        prefill_nanoseconds=round(load.prefill_seconds * _NANOSECONDS_PER_SECOND),
+        decode_nanoseconds=round(load.decode_seconds * _NANOSECONDS_PER_SECOND),
     )
 
 
@@ -208,8 +211,8 @@
     return Load(
         running=load.running,
         waiting=load.waiting,
-        prefill_seconds=load.prefill_nanoseconds / _NANO,
-        decode_seconds=load.decode_nanoseconds / _NANO,
+        prefill_seconds=load.prefill_nanoseconds / _NANOSECONDS_PER_SECOND,
+        decode_seconds=load.decode_nanoseconds / _NANOSECONDS_PER_SECOND,
     )
 
 
--- a/src/pepperstep/membership/registry.py
+++ b/src/pepperstep/membership/registry.py
@@ -1,4 +1,4 @@
-"""Registry of upstreams, which announce themselves and renew their leases."""
+"""Registry of upstreams that announce themselves and renew their leases."""
 
 import math
 import random
@@ -11,9 +11,9 @@
 from pepperstep.entities import Host, Load, ModelKey, Upstream
 from pepperstep.errors import Code, Failure
 from pepperstep.membership.clock import EchoClock
-from pepperstep.membership.records import Record, merge_records, stub
+from pepperstep.membership.records import Record, merge_records, placeholder
+from pepperstep.membership.replicator import UpstreamReplicator
 from pepperstep.membership.settings import RegistrySettings
-from pepperstep.membership.spread import UpstreamSpread
 from pepperstep.ports import PeerNetwork, Timers
 from pepperstep.proto import membership_pb2 as pb
 
@@ -22,28 +22,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """Answer to an announcement; the upstream must renew within `seconds`."""
+    """Answer to an announcement; the upstream must renew it within `seconds`."""
 
     seconds: float
     heartbeat_period: float
-    # Base URLs of the hosts that route to it, to announce itself at.
+    # Base URLs of the entry hosts that route to the upstream and accept its
+    # heartbeats.
     entry_hosts: tuple[str, ...]
-    # False for a heartbeat that came late or with a strange token.
+    # False for a late heartbeat, or one with a token that this host didn't issue.
     is_renewed: bool
-    # To send back with the next heartbeat, with the seconds it was held.
+    # The upstream returns the token with its next heartbeat, together with the
+    # seconds since it received the token.
     token: str
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamChange:
-    """A change of more than load; None before the lease, and after its end."""
+    """A change of an upstream beyond its load.
+
+    `before` is None if the upstream had no lease, `after` if its lease ended.
+    """
 
     before: Upstream | None
     after: Upstream | None
 
 
 class UpstreamRegistry:
-    """Upstreams that this host knows, with leases by its monotonic clock."""
+    """Upstreams known to this host, with leases timed by its monotonic clock."""
 
     def __init__(
         self,
@@ -58,14 +63,14 @@
         self._settings = settings
         self._clock = EchoClock(timers, rng)
         self._records: dict[str, Record] = {}
-        # When the newest message on each upstream came.
-        self._touched_at: dict[str, float] = {}
-        # What listeners were last told of each upstream whose lease holds.
-        self._told: dict[str, Upstream] = {}
-        # Cloud hosts that are leaving, by the time of their notice.
+        # Arrival time of the newest message about each upstream.
+        self._last_message_at: dict[str, float] = {}
+        # Last state reported to listeners of each upstream with a valid lease.
+        self._published: dict[str, Upstream] = {}
+        # Arrival times of the notices of leaving cloud hosts, by host id.
         self._leaving_hosts: dict[str, float] = {}
         self._listeners: list[Callable[[UpstreamChange], None]] = []
-        self._spread = UpstreamSpread(
+        self._replicator = UpstreamReplicator(
             host, hosts, self, self._clock, peers, timers, rng, settings
         )
 
@@ -79,21 +84,21 @@
         rng: random.Random,
         settings: RegistrySettings | None = None,
     ) -> "UpstreamRegistry":
-        """Return the registry of `host`; `hosts` lists those that serve now."""
+        """Return the registry of `host`; `hosts` returns the serving hosts."""
         return cls(host, hosts, peers, timers, rng, settings or RegistrySettings())
 
     @property
     def records(self) -> dict[str, Record]:
-        """All records by name, also those whose lease has ended."""
+        """All records by name, including those whose lease has expired."""
         return self._records
 
     def candidates(
         self, model_key: ModelKey | None = None, service: str = ""
     ) -> list[Upstream]:
-        """Return the upstreams that may be chosen now.
+        """Return the upstreams that may get new work.
 
-        With `model_key` only those that have it loaded, with `service` only
-        those of that service.
+        `model_key` selects the upstreams that have this model loaded, `service`
+        those of this service.
         """
         oldest = self._timers.now() - self._settings.lease
         found: list[Upstream] = []
@@ -109,93 +114,97 @@
         return found
 
     def upstreams(self) -> list[Upstream]:
-        """Return the upstreams whose lease holds, leaving ones included."""
+        """Return the upstreams with a valid lease, including leaving ones."""
         return [r.upstream for r in self._records.values() if self._is_live(r)]
 
     def get(self, name: str) -> Upstream | None:
-        """Return what was last known of an upstream, None if it was removed."""
+        """Return the last known state of an upstream.
+
+        Return None if the upstream is unknown or was removed.
+        """
         record = self._records.get(name)
         return None if record is None or record.is_removed else record.upstream
 
     def is_live(self, name: str) -> bool:
-        """Whether the upstream's lease holds."""
+        """Whether the upstream's lease is valid."""
         record = self._records.get(name)
         return record is not None and self._is_live(record)
 
     def subscribe(self, listener: Callable[[UpstreamChange], None]) -> None:
-        """Call `listener` after each change of more than load."""
+        """Call `listener` after each change of an upstream beyond its load."""
         self._listeners.append(listener)
 
     def announce(
         self, upstream: Upstream, sequence: int, token: str = "", held: float = 0.0
     ) -> Lease:
-        """Take an announcement or heartbeat; `sequence` grows with each.
+        """Apply an announcement or heartbeat; `sequence` grows with each one.
 
-        `token` is the last lease's, held for `held` seconds. One that this host
-        didn't give renews nothing, and the upstream should announce again at
-        once. Without any, a late heartbeat counts as one of now. Raise `Failure`
-        with `FENCED` for an earlier epoch than the newest, or one that was removed.
+        `token` is the token of the last lease, `held` the seconds since the
+        upstream received it. A token that this host didn't issue renews nothing,
+        and the upstream should announce itself again at once. Without a token, a
+        delayed heartbeat is taken as sent now. Raise `Failure` with `FENCED` if
+        the epoch is earlier than the newest one or was removed.
         """
         if sequence < 0:
             raise Failure(Code.INVALID_REQUEST, "The sequence is below 0.")
-        # 0 stands for no heartbeat at all.
+        # Sequence number 0 means that the record comes from no heartbeat.
         sequence += 1
         known = self._records.get(upstream.name)
         _check_epoch(known, upstream)
         renewed_at = self._heartbeat_time(token, held)
         if known is not None and (upstream.epoch, sequence) <= known.number:
-            # A late heartbeat says nothing about now.
+            # An out-of-order heartbeat is no evidence that the upstream is alive now.
             renewed_at = -math.inf
         record = Record(upstream, sequence, renewed_at=renewed_at)
-        self._spread.add_home(upstream.name, is_changed=self.merge(record))
-        return self._lease(upstream.name, is_renewed=renewed_at > -math.inf)
+        self._replicator.record_heartbeat(upstream.name, is_changed=self.merge(record))
+        return self._make_lease(upstream.name, is_renewed=renewed_at > -math.inf)
 
     def mark_leaving(self, name: str, epoch: int) -> None:
-        """Give this start of an upstream nothing new any more, anywhere."""
-        upstream = replace(stub(name, epoch), is_leaving=True)
+        """Exclude an upstream from new work on all hosts, in this epoch."""
+        upstream = replace(placeholder(name, epoch), is_leaving=True)
         if self.merge(Record(upstream, 0)):
-            self._spread.push(name)
+            self._replicator.push(name)
 
     def mark_host_leaving(self, host_id: str) -> None:
-        """Mark all upstreams on a cloud host, also those that still come up."""
+        """Mark all upstreams on a cloud host as leaving, including later ones."""
         self._leaving_hosts[host_id] = self._timers.now()
         for record in list(self._records.values()):
             if record.upstream.host == host_id:
                 self.mark_leaving(record.upstream.name, record.epoch)
 
     def remove(self, name: str, epoch: int) -> None:
-        """Take out this start of an upstream; it needs a new epoch to return."""
-        if self.merge(Record(stub(name, epoch), 0, is_removed=True)):
-            self._spread.push(name)
+        """Remove an upstream in this epoch; it needs a new epoch to return."""
+        if self.merge(Record(placeholder(name, epoch), 0, is_removed=True)):
+            self._replicator.push(name)
 
-    def merge(self, news: Record) -> bool:
-        """Take in a record; return whether more than load has changed."""
-        name = news.upstream.name
+    def merge(self, update: Record) -> bool:
+        """Merge a record; return whether anything beyond load has changed."""
+        name = update.upstream.name
         known = self._records.get(name)
-        merged = merge_records(known, news)
+        merged = merge_records(known, update)
         self._records[name] = merged
-        self._touched_at[name] = self._timers.now()
+        self._last_message_at[name] = self._timers.now()
         is_changed = known is None or known.content != merged.content
-        self._tell(merged)
+        self._publish(merged)
         if merged.upstream.host in self._leaving_hosts and not merged.is_ending:
             self.mark_leaving(name, merged.epoch)
         return is_changed
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED) -> None:
-        """Spread and expire leases until cancelled."""
-        self._spread.register()
+        """Replicate records and expire leases until cancelled."""
+        self._replicator.register()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._spread.run)
+            nursery.start_soon(self._replicator.run)
             task_status.started()
             async for _ in self._timers.subscribe(self._settings.push_period):
                 self._expire()
 
-    def _lease(self, name: str, is_renewed: bool) -> Lease:
+    def _make_lease(self, name: str, is_renewed: bool) -> Lease:
         reading = self._clock.read()
         return Lease(
             seconds=self._settings.lease,
             heartbeat_period=self._settings.heartbeat_period,
-            entry_hosts=self._spread.list_routers(name),
+            entry_hosts=self._replicator.list_router_urls(name),
             is_renewed=is_renewed,
             token=f"{reading.clock}.{reading.time_ms}",
         )
@@ -215,26 +224,26 @@
         return age < self._settings.lease and not record.is_removed
 
     def _expire(self) -> None:
-        for name in list(self._told):
+        for name in list(self._published):
             record = self._records[name]
             if not self._is_live(record):
-                logging.info("registry: Lease of %s has ended.", name)
-                self._tell(record)
+                logging.info("registry: Lease of %s has expired.", name)
+                self._publish(record)
         oldest = self._timers.now() - self._settings.forget_after
-        for name, touched_at in list(self._touched_at.items()):
-            if touched_at < oldest:
-                del self._records[name], self._touched_at[name]
+        for name, last_message_at in list(self._last_message_at.items()):
+            if last_message_at < oldest:
+                del self._records[name], self._last_message_at[name]
         for host_id, noticed_at in list(self._leaving_hosts.items()):
             if noticed_at < oldest:
                 del self._leaving_hosts[host_id]
 
-    def _tell(self, record: Record) -> None:
-        """Tell listeners what has changed but for load."""
+    def _publish(self, record: Record) -> None:
+        """Report a change beyond load to the listeners."""
         name = record.upstream.name
-        before = self._told.pop(name, None)
+        before = self._published.pop(name, None)
         after = record.upstream if self._is_live(record) else None
         if after is not None:
-            self._told[name] = after
+            self._published[name] = after
         if _without_load(before) == _without_load(after):
             return
         for listener in self._listeners:
--- a/src/pepperstep/membership/spread.py
+++ b/src/pepperstep/membership/replicator.py
@@ -1,7 +1,8 @@
-"""Spread of upstreams to the other entry hosts that route to them.
+"""Replication of upstream records to the hosts that need them.
 
-The host that takes an upstream's heartbeats pushes its record to the others,
-changes at once and renewals once a second. Digests repair what pushes missed.
+The host that receives an upstream's heartbeats pushes the record to the entry
+hosts that route to the upstream and to the control hosts: changes at once, lease
+renewals once a second. Anti-entropy by digests repairs what pushes missed.
 """
 
 import random
@@ -26,28 +27,29 @@
 from pepperstep.ports import PeerNetwork, Timers
 from pepperstep.proto import membership_pb2 as pb
 
-__all__ = ["RecordTable", "UpstreamSpread"]
+__all__ = ["RecordTable", "UpstreamReplicator"]
 
-# Share of a lease after which other hosts are asked for a renewal.
+# Share of a lease after which this host asks another host for a renewal.
 _STALE_SHARE = 0.6
-# Milliseconds by which a renewal must be newer to be worth an answer.
-_MIN_GAIN_MS = 300
-_DIGEST_TIMEOUT = 0.5
+# A digest is answered with a renewal only if it is newer by more than this many
+# milliseconds.
+_MIN_AGE_DIFFERENCE_MS = 300
+_DIGEST_TIMEOUT_SECONDS = 0.5
 
 
 class RecordTable(Protocol):
-    """The records that are spread."""
+    """The records to replicate."""
 
     @property
     def records(self) -> dict[str, Record]:
         """All records by name."""
 
-    def merge(self, news: Record) -> bool:
-        """Take in a record."""
+    def merge(self, update: Record) -> bool:
+        """Merge a record; return whether anything beyond load has changed."""
 
 
-class _Target:
-    """What another host still has to be told."""
+class _PushTarget:
+    """Another host and the upstreams whose records are pending for it."""
 
     def __init__(self, name: str):
         self.name = name
@@ -55,15 +57,15 @@
         self.changes: set[str] = set()
         self.renewals: set[str] = set()
         self.renewed_at = 0.0
-        # Descriptions that the host has acknowledged, by their hash.
-        self.described: dict[str, int] = {}
-        # Its last reading and when it came.
-        self.reading: pb.ClockReading | None = None
-        self.reading_at = 0.0
+        # Hashes of the descriptions that the host has acknowledged, by upstream.
+        self.acknowledged_descriptions: dict[str, int] = {}
+        # The host's last clock reading and its arrival time.
+        self.clock_reading: pb.ClockReading | None = None
+        self.clock_reading_at = 0.0
 
 
-class UpstreamSpread:
-    """Pushes to the other hosts, and handlers for theirs."""
+class UpstreamReplicator:
+    """Pushes records to the other hosts and handles their pushes and digests."""
 
     def __init__(
         self,
@@ -84,22 +86,23 @@
         self._timers = timers
         self._rng = rng
         self._settings = settings
-        self._targets: dict[str, _Target] = {}
-        # Upstreams whose heartbeats come here, by the time of the last one.
-        self._home: dict[str, float] = {}
-        # The hosts as of the last look, and what follows from them.
+        self._targets: dict[str, _PushTarget] = {}
+        # Time of the last heartbeat that this host received, by upstream.
+        self._heartbeats_at: dict[str, float] = {}
+        # Entry hosts and control hosts as of the last update, and a cache of the
+        # names of each upstream's routing hosts.
         self._routers: list[Host] = []
-        self._controls: frozenset[str] = frozenset()
+        self._control_hosts: frozenset[str] = frozenset()
         self._routers_of: dict[str, frozenset[str]] = {}
 
     def register(self) -> None:
-        """Take the other hosts' messages from now on."""
+        """Register the handlers of pushes and digests."""
         self._peers.handle(pb.UpstreamPush, self._on_push)
         self._peers.handle(pb.UpstreamDigest, self._on_digest)
 
-    def add_home(self, name: str, is_changed: bool) -> None:
-        """Spread a heartbeat that came to this host."""
-        self._home[name] = self._timers.now()
+    def record_heartbeat(self, name: str, is_changed: bool) -> None:
+        """Schedule the replication of a heartbeat that this host received."""
+        self._heartbeats_at[name] = self._timers.now()
         if is_changed:
             self.push(name)
             return
@@ -107,17 +110,17 @@
             target.renewals.add(name)
 
     def push(self, name: str) -> None:
-        """Spread a change that began at this host."""
+        """Schedule the replication of a change that originated at this host."""
         for target in self._targets_of(name):
             target.changes.add(name)
 
-    def list_routers(self, upstream: str) -> tuple[str, ...]:
+    def list_router_urls(self, upstream: str) -> tuple[str, ...]:
         """Return the base URLs of the entry hosts that route to `upstream`."""
         names = self._routers_for(upstream)
         return tuple(host.caller_url for host in self._routers if host.name in names)
 
     async def run(self) -> None:
-        """Serve each other host in a task of its own until cancelled."""
+        """Replicate to each other host in a separate task until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._compare_periodically)
             nursery.start_soon(self._refresh_periodically)
@@ -129,33 +132,35 @@
         hosts = self._hosts()
         region = self._host.region
         routers = [h for h in hosts if h.caller_url and h.region == region]
-        self._controls = frozenset(host.name for host in hosts if host.is_control)
+        self._control_hosts = frozenset(host.name for host in hosts if host.is_control)
         if routers != self._routers:
             self._routers = routers
             self._routers_of.clear()
 
     def _update_targets(self, nursery: trio.Nursery) -> None:
-        names = {host.name for host in self._routers} | self._controls
+        names = {host.name for host in self._routers} | self._control_hosts
         names.discard(self._host.name)
         for name in self._targets.keys() - names:
             self._targets.pop(name).scope.cancel()
         oldest = self._timers.now() - self._settings.lease
-        self._home = {n: time for n, time in self._home.items() if time > oldest}
+        self._heartbeats_at = {
+            n: time for n, time in self._heartbeats_at.items() if time > oldest
+        }
         for name in sorted(names - self._targets.keys()):
-            target = self._targets[name] = _Target(name)
-            target.changes.update(self._shared_with(name, self._home))
-            nursery.start_soon(self._serve, target)
+            target = self._targets[name] = _PushTarget(name)
+            target.changes.update(self._shared_with(name, self._heartbeats_at))
+            nursery.start_soon(self._push_periodically, target)
 
-    def _targets_of(self, upstream: str) -> list[_Target]:
-        names = self._tellable(upstream)
+    def _targets_of(self, upstream: str) -> list[_PushTarget]:
+        names = self._receivers_of(upstream)
         return [target for name, target in self._targets.items() if name in names]
 
     def _shared_with(self, host: str, upstreams: Iterable[str]) -> list[str]:
-        return [name for name in upstreams if host in self._tellable(name)]
+        return [name for name in upstreams if host in self._receivers_of(name)]
 
-    def _tellable(self, upstream: str) -> frozenset[str]:
-        """Return the names of all hosts that are to know `upstream`."""
-        return self._routers_for(upstream) | self._controls
+    def _receivers_of(self, upstream: str) -> frozenset[str]:
+        """Return the names of all hosts that need the record of `upstream`."""
+        return self._routers_for(upstream) | self._control_hosts
 
     def _routers_for(self, upstream: str) -> frozenset[str]:
         names = self._routers_of.get(upstream)
@@ -165,17 +170,17 @@
             self._routers_of[upstream] = names
         return names
 
-    async def _serve(self, target: _Target) -> None:
+    async def _push_periodically(self, target: _PushTarget) -> None:
         with target.scope:
             async for now in self._timers.subscribe(self._settings.push_period, 0.2):
                 is_due = now - target.renewed_at >= self._settings.renewal_period
                 if target.changes or (target.renewals and is_due):
                     await self._push_to(target)
 
-    async def _push_to(self, target: _Target) -> None:
-        """Send what is pending; what isn't acknowledged is pending again."""
+    async def _push_to(self, target: _PushTarget) -> None:
+        """Push the pending records; unacknowledged records become pending again."""
         message, sent = self._compose(target)
-        # What changes while the call is under way must be sent again.
+        # Cleared before the call, so that a change during it is pushed again.
         target.changes -= sent.keys()
         target.renewals -= sent.keys()
         started = self._timers.now()
@@ -187,21 +192,21 @@
             target.changes.update(sent)
             return
         target.renewed_at = started
-        target.reading = ack.reading
-        target.reading_at = self._timers.now()
-        target.described.update(sent)
+        target.clock_reading = ack.reading
+        target.clock_reading_at = self._timers.now()
+        target.acknowledged_descriptions.update(sent)
         for name in ack.wanted:
-            target.described.pop(name, None)
-        # A receiver without an echo of its clock has renewed nothing.
+            target.acknowledged_descriptions.pop(name, None)
+        # Without an echo of its clock, the receiver couldn't renew any lease.
         target.changes.update(sent if ack.needs_echo else ack.wanted)
 
-    def _compose(self, target: _Target) -> tuple[pb.UpstreamPush, dict[str, int]]:
-        """Return the message, and the hashes of the descriptions told by it."""
+    def _compose(self, target: _PushTarget) -> tuple[pb.UpstreamPush, dict[str, int]]:
+        """Return the message and the description hashes of its records."""
         now = self._timers.now()
         message = pb.UpstreamPush()
-        if target.reading is not None:
-            message.echo.CopyFrom(target.reading)
-            message.held_ms = int((now - target.reading_at) * 1000)
+        if target.clock_reading is not None:
+            message.echo.CopyFrom(target.clock_reading)
+            message.held_ms = int((now - target.clock_reading_at) * 1000)
         sent: dict[str, int] = {}
         size = 0
         for name in sorted(target.changes) + sorted(target.renewals - target.changes):
@@ -209,7 +214,7 @@
             if record is None or size > self._settings.max_push_bytes:
                 continue
             sent[name] = description_hash(record)
-            is_full = target.described.get(name) != sent[name]
+            is_full = target.acknowledged_descriptions.get(name) != sent[name]
             message.records.append(to_message(record, now, is_full))
             size += message.records[-1].ByteSize()
         return message, sent
@@ -226,14 +231,14 @@
     def _merge(
         self, messages: Iterable[pb.UpstreamRecord], sent_at: float | None
     ) -> list[str]:
-        """Merge records and return the names whose description is missing."""
+        """Merge records and return the upstreams whose description is missing."""
         wanted: list[str] = []
         for message in messages:
             known = self._table.records.get(message.name)
             try:
                 record = from_message(message, known, sent_at)
             except ValueError:
-                # A kind or role of a later release, of no use to this host.
+                # A later release may send a kind or role that this one lacks.
                 continue
             if record is not None:
                 self._table.merge(record)
@@ -242,7 +247,7 @@
         return wanted
 
     async def _compare_periodically(self) -> None:
-        """Compare with another host at the start and then each period."""
+        """Send a digest to a random host at the start and then each digest period."""
         period = self._settings.push_period
         async for _ in self._timers.subscribe(period, 0.5):
             if not self._targets:
@@ -255,16 +260,16 @@
             await self._timers.sleep(rest * self._rng.uniform(0.75, 1.25))
 
     def _forget(self) -> None:
-        """Drop what is kept of upstreams that the table has forgotten."""
+        """Drop the state of upstreams that the table has removed."""
         records = self._table.records
         for name in self._routers_of.keys() - records.keys():
             del self._routers_of[name]
         for target in self._targets.values():
-            for name in target.described.keys() - records.keys():
-                del target.described[name]
+            for name in target.acknowledged_descriptions.keys() - records.keys():
+                del target.acknowledged_descriptions[name]
 
     async def _refresh_periodically(self) -> None:
-        """Ask others for leases that no push has renewed lately."""
+        """Ask other hosts about leases that no push has renewed recently."""
         period = 2 * self._settings.push_period
         async for now in self._timers.subscribe(period, 0.2):
             if not self._targets:
@@ -284,16 +289,16 @@
     async def _compare(
         self, peer: str, names: Iterable[str], is_selection: bool
     ) -> None:
-        """Send a digest to another host, and merge what it knows better."""
+        """Send a digest to another host and merge the newer records it returns."""
         started = self._timers.now()
         records = self._table.records
         versions = [to_version(records[name], started) for name in names]
         message = pb.UpstreamDigest(versions=versions, is_selection=is_selection)
         try:
-            answer = await self._peers.call(peer, message, _DIGEST_TIMEOUT)
+            answer = await self._peers.call(peer, message, _DIGEST_TIMEOUT_SECONDS)
         except Failure:
             return
-        # The answer was made after the digest.
+        # The answer was composed after the digest was sent.
         self._merge(answer.records, started)
         target = self._targets.get(peer)
         if target is not None:
@@ -308,7 +313,7 @@
         for name in self._shared_names(sender, theirs, message.is_selection):
             record = self._table.records.get(name)
             version = theirs.get(name)
-            if record is not None and _is_better(record, version, now):
+            if record is not None and _is_newer(record, version, now):
                 answer.records.append(to_message(record, now, is_full=True))
             if version is not None and _is_behind(record, version):
                 answer.wanted.append(name)
@@ -317,15 +322,18 @@
     def _shared_names(
         self, sender: str, theirs: Iterable[str], is_selection: bool
     ) -> list[str]:
-        """Return the upstreams to compare: the named ones, or all of both."""
+        """Return the upstreams to compare.
+
+        These are the named ones for a selection, otherwise all shared ones.
+        """
         if is_selection:
             return list(theirs)
         ours = self._shared_with(sender, self._table.records)
         return sorted({*theirs, *ours})
 
 
-def _is_better(record: Record, version: pb.UpstreamVersion | None, now: float) -> bool:
-    """Return whether `record` would tell the host of `version` anything new."""
+def _is_newer(record: Record, version: pb.UpstreamVersion | None, now: float) -> bool:
+    """Return whether `record` has anything newer than `version`."""
     if version is None:
         return True
     if record.epoch != version.epoch:
@@ -334,11 +342,11 @@
         return True
     if record.is_removed and not version.is_removed:
         return True
-    return age_ms(record, now) + _MIN_GAIN_MS < version.age_ms
+    return age_ms(record, now) + _MIN_AGE_DIFFERENCE_MS < version.age_ms
 
 
 def _is_behind(record: Record | None, version: pb.UpstreamVersion) -> bool:
-    """Return whether the host of `version` knows of an end or epoch that we don't."""
+    """Return whether `record` lacks an epoch, leaving or removal of `version`."""
     if record is None or version.epoch != record.epoch:
         return record is None or version.epoch > record.epoch
     is_leaving = version.is_leaving and not record.upstream.is_leaving
--- a/src/pepperstep/membership/settings.py
+++ b/src/pepperstep/membership/settings.py
@@ -1,4 +1,4 @@
-"""Times and limits of the membership and of the upstreams' registry."""
+"""Settings of the membership and of the upstream registry."""
 
 from dataclasses import dataclass
 
@@ -7,14 +7,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipSettings:
-    """How hosts watch each other; times in seconds, sizes in bytes."""
+    """Settings of probes, gossip and syncs; times in seconds, sizes in bytes."""
 
-    # Each host probes one other host each period, whatever their number.
+    # Each host probes one other host per period, however many there are.
     probe_period: float = 0.4
     probe_timeout: float = 0.2
-    # Hosts that are asked to probe a target that doesn't answer.
+    # Hosts that are asked for an indirect probe of a target that doesn't answer.
     helper_count: int = 3
-    # Time that a suspect has to refute.
+    # Time that a suspect has to refute the suspicion.
     suspicion_timeout: float = 1.0
     gossip_period: float = 0.2
     gossip_fanout: int = 2
@@ -22,28 +22,29 @@
     update_bytes_per_second: float = 2500.0
     sync_period: float = 5.0
     max_sync_bytes: int = 32 * 1024
-    # Hosts of each region that exchange updates with other regions.
+    # Hosts of each region that sync with other regions.
     bridge_count: int = 3
     bridge_period: float = 1.0
-    # How often a seed or dead member is tried again.
+    # Interval between attempts to reach a missing seed or dead member.
     rejoin_period: float = 1.0
-    # How long dead members are remembered.
+    # Time for which the records of dead and departed members are kept.
     forget_after: float = 600.0
 
 
 @dataclass(frozen=True, slots=True)
 class RegistrySettings:
-    """How upstreams are kept and spread; times in seconds."""
+    """Settings of upstream leases and their replication; times in seconds."""
 
     heartbeat_period: float = 1.0
     lease: float = 3.0
-    # Changes go out this often, renewals without a change at `renewal_period`.
+    # Interval of pushes of changes; renewals are pushed each `renewal_period`.
     push_period: float = 0.25
     renewal_period: float = 1.0
     push_timeout: float = 0.25
     max_push_bytes: int = 16 * 1024
     digest_period: float = 5.0
-    # How long ended upstreams are remembered, so that late messages are known.
+    # Time for which records are kept after their last message, so that a delayed
+    # message can't restore an ended upstream.
     forget_after: float = 600.0
-    # Entry hosts of a region that route to an upstream, 0 for all.
+    # Number of a region's entry hosts that route to an upstream, 0 for all.
     routers_per_upstream: int = 0
--- a/src/pepperstep/membership/subset.py
+++ b/src/pepperstep/membership/subset.py
@@ -1,7 +1,8 @@
-"""Which entry hosts route to an upstream, so that each knows a bounded number.
+"""Subsetting: which entry hosts route to an upstream.
 
-The choice follows from names alone: rendezvous hashing within each zone, with
-as many hosts of a zone as its share of the hosts.
+Each host routes to a bounded number of upstreams. The assignment depends on names
+only: rendezvous hashing within each zone, with a number of hosts per zone that is
+proportional to the zone's share of the hosts.
 """
 
 import heapq
@@ -15,12 +16,12 @@
 __all__ = ["choose_routers", "routing_subset"]
 
 _SCALE = 1 << 32
-# An upstream that one host alone knows would be lost with it.
+# An upstream with a single routing host would become unreachable with that host.
 _MIN_ROUTERS = 2
 
 
 def choose_routers(upstream: str, hosts: Sequence[Host], count: int) -> frozenset[str]:
-    """Return the names of `count` hosts that route to `upstream`, all for 0."""
+    """Return the names of the `count` hosts that route to `upstream`, 0 for all."""
     if count <= 0 or count >= len(hosts):
         return frozenset(host.name for host in hosts)
     zones: dict[str, list[str]] = {}
@@ -30,7 +31,7 @@
     seen = 0
     start = offset = _hash(upstream)
     for zone in sorted(zones):
-        # The offset rounds shares up for some upstreams and down for others.
+        # The offset rounds a zone's share up for some upstreams, down for others.
         seen += len(zones[zone])
         end = count * seen * _SCALE // len(hosts) + offset
         quota = end // _SCALE - start // _SCALE
@@ -46,7 +47,8 @@
 ) -> frozenset[str]:
     """Return the upstreams of one deployment that `host` routes to.
 
-    That is about `size` of them, all for 0; `hosts` are the region's.
+    The subset has about `size` upstreams, or all of them if `size` is 0. `hosts`
+    are the entry hosts of the region.
     """
     names = list(upstreams)
     if not names or size <= 0:
--- a/src/pepperstep/membership/updates.py
+++ b/src/pepperstep/membership/updates.py
@@ -1,4 +1,4 @@
-"""Updates that ride on messages, each a bounded number of times."""
+"""Member updates piggybacked on messages, each a bounded number of times."""
 
 import math
 from collections.abc import Iterable
@@ -13,18 +13,19 @@
 
 __all__ = ["UpdateQueue", "fit_updates", "from_update", "to_update"]
 
-# Sends of an update, for each doubling of the number of hosts.
+# Times that an update is sent per doubling of the number of hosts.
 _SENDS_PER_DOUBLING = 2
-# What is beyond these is damaged; counting on would leave the message's range.
+# A message with greater numbers is damaged. Incrementing from such numbers would
+# leave the range of the message's fields.
 _MAX_LIFE = 2**53
 _MAX_REFUTATION = 2**31
 _STATES = frozenset(MemberState)
-# Tag and length that protobuf puts before an update.
+# Bytes of the tag and the length that protobuf writes before an update.
 _FRAME_BYTES = 4
 
 
 def to_update(member: Member, has_host: bool) -> pb.MemberUpdate:
-    """Return the message for `member`, with its host's settings or without."""
+    """Return the message for `member`, with its host's settings if `has_host`."""
     update = pb.MemberUpdate(
         name=member.name,
         life=member.life,
@@ -43,12 +44,12 @@
 
 
 def from_update(update: pb.MemberUpdate, known: Member | None) -> Member | None:
-    """Return the member.
+    """Return the member that `update` describes.
 
-    Return None if its host's settings are neither here nor there, or if its
-    state or numbers make no sense.
+    Return None if neither `update` nor `known` has the host's settings, or if the
+    state or the numbers are out of range.
     """
-    if not _is_sound(update):
+    if not _is_valid(update):
         return None
     if update.HasField("host"):
         host = Host(
@@ -61,7 +62,7 @@
             is_control=update.host.is_control,
         )
     elif known is None or known.life != update.life:
-        # A new life may have new settings; a sync brings them.
+        # A restarted host may have new settings, which a sync delivers.
         return None
     else:
         host = known.host
@@ -69,7 +70,7 @@
     return Member(host, update.life, update.refutation, state)
 
 
-def _is_sound(update: pb.MemberUpdate) -> bool:
+def _is_valid(update: pb.MemberUpdate) -> bool:
     is_in_range = update.life < _MAX_LIFE and update.refutation < _MAX_REFUTATION
     return is_in_range and update.state in _STATES
 
@@ -79,51 +80,51 @@
 ) -> tuple[list[pb.MemberUpdate], list[Member]]:
     """Return the updates that fit in `max_bytes`, and the members left over."""
     updates: list[pb.MemberUpdate] = []
-    left: list[Member] = []
+    remaining: list[Member] = []
     for member in members:
-        if left:
-            left.append(member)
+        if remaining:
+            remaining.append(member)
             continue
-        # Settings travel with the first news of a life.
+        # The first update after a host's start includes the host's settings.
         is_first = member.state is MemberState.ALIVE and not member.refutation
         update = to_update(member, has_host or is_first)
         size = update.ByteSize() + _FRAME_BYTES
         if size > max_bytes:
-            left.append(member)
+            remaining.append(member)
             continue
         max_bytes -= size
         updates.append(update)
-    return updates, left
+    return updates, remaining
 
 
-class _Budget:
-    """Bytes that may be sent now, filled up at `rate` bytes a second."""
+class _TokenBucket:
+    """Token bucket of bytes to send, refilled at `rate` bytes a second."""
 
     def __init__(self, timers: Timers, rate: float):
         self._timers = timers
         self._rate = rate
-        self._bytes = rate
-        self._filled_at = timers.now()
+        self._tokens = rate
+        self._refilled_at = timers.now()
 
     @property
     def available(self) -> int:
-        """Bytes that may be sent now, one second's worth at most."""
+        """Bytes that may be sent now, at most one second's worth."""
         now = self._timers.now()
-        filled = self._bytes + self._rate * (now - self._filled_at)
-        self._bytes = min(self._rate, filled)
-        self._filled_at = now
-        return int(self._bytes)
+        filled = self._tokens + self._rate * (now - self._refilled_at)
+        self._tokens = min(self._rate, filled)
+        self._refilled_at = now
+        return int(self._tokens)
 
     def spend(self, count: int) -> None:
-        """Take `count` bytes out."""
-        self._bytes -= count
+        """Remove `count` bytes from the bucket."""
+        self._tokens -= count
 
 
 class UpdateQueue:
-    """Members whose newest record this host still has to pass on.
+    """Members whose newest record this host still has to disseminate.
 
-    An update of a member replaces an older one, so that a burst of changes
-    costs one entry a member, and bytes a second are limited whatever happens.
+    An update of a member replaces an older one, so a burst of changes costs one
+    entry per member. A token bucket limits the bytes sent per second.
     """
 
     def __init__(
@@ -131,39 +132,40 @@
     ):
         self._table = table
         self._max_bytes = settings.max_update_bytes
-        self._budget = _Budget(timers, settings.update_bytes_per_second)
+        self._byte_bucket = _TokenBucket(timers, settings.update_bytes_per_second)
         self._sends_left: dict[str, int] = {}
-        self._filled = trio.Event()
+        self._update_added = trio.Event()
         table.subscribe(lambda change: self.add(change.after))
 
     def add(self, member: Member) -> None:
-        """Pass on `member` from now on."""
+        """Schedule the dissemination of `member`, replacing an older update."""
         count = self._table.count(self._table.own.host.region)
         doublings = math.ceil(math.log2(count + 1))
         self._sends_left[member.name] = _SENDS_PER_DOUBLING * doublings
-        self._filled.set()
+        self._update_added.set()
 
     async def wait(self) -> None:
-        """Return when there is something to pass on."""
+        """Wait until there is an update to send."""
         while not self._sends_left:
-            self._filled = trio.Event()
-            await self._filled.wait()
+            self._update_added = trio.Event()
+            await self._update_added.wait()
 
     def peek(self) -> list[pb.MemberUpdate]:
-        """Return the least sent updates that fit, for an answer.
+        """Return the least sent updates that fit in an answer.
 
-        Answers don't count as sends: after a pause nobody waits for them.
+        Updates in answers don't count as sent, because after a pause of this host
+        the callers may have given up waiting for the answers.
         """
         names = sorted(self._sends_left, key=self._sends_left.get, reverse=True)
         known = [self._table.get(name) for name in names]
         members = [member for member in known if member is not None]
-        limit = min(self._max_bytes, self._budget.available)
+        limit = min(self._max_bytes, self._byte_bucket.available)
         updates, _ = fit_updates(members, limit)
-        self._budget.spend(sum(update.ByteSize() for update in updates))
+        self._byte_bucket.spend(sum(update.ByteSize() for update in updates))
         return updates
 
     def take(self) -> list[pb.MemberUpdate]:
-        """Return what `peek` does, for a call, and count it as sent."""
+        """Return the least sent updates that fit in a request, and count the sends."""
         updates = self.peek()
         for update in updates:
             self._count_send(update.name)
