--- a/src/pepperstep/membership/health.py
+++ b/src/pepperstep/membership/health.py
@@ -25,7 +25,7 @@
         return 1 + self._score
 
     @property
-    def is_cut_off(self) -> bool:
+    def is_isolated(self) -> bool:
         """Whether no other host has answered this host recently."""
         return self._timers.now() - self._last_contact > _CONTACT_TIMEOUT_SECONDS
 
