--- a/src/pepperstep/configuration/__init__.py
+++ b/src/pepperstep/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""Agreed configuration: one base document and an overlay for each site."""
+"""Replicated configuration: one base document and an overlay for each site."""
 
 from pepperstep.configuration.changes import (
     Change,
@@ -6,7 +6,6 @@
     ChangeStatus,
     Winner,
 )
-from pepperstep.configuration.choice import StoreSettings
 from pepperstep.configuration.distribution import ConfigurationStore
 from pepperstep.configuration.documents import Document, merge, parse
 from pepperstep.configuration.keys import (
@@ -18,6 +17,7 @@
 )
 from pepperstep.configuration.machine import ConfigurationMachine
 from pepperstep.configuration.origins import Origin, origins
+from pepperstep.configuration.peer_selector import StoreSettings
 from pepperstep.configuration.schema import (
     BASE,
     BaseDocument,
--- a/src/pepperstep/configuration/changes.py
+++ b/src/pepperstep/configuration/changes.py
@@ -1,4 +1,4 @@
-"""Changes of a document, and the answers that operators get."""
+"""Changes of a document and the answers to them."""
 
 import enum
 import hashlib
@@ -25,42 +25,42 @@
 
 
 class ChangeStatus(enum.StrEnum):
-    """How a change ended."""
+    """Result status of a change."""
 
-    # Committed, and in force everywhere within seconds.
+    # Committed; active on all hosts within seconds.
     ACCEPTED = "accepted"
-    # Another change came first, or the change names a revision to come.
+    # Another change was committed first, or `from_revision` is in the future.
     CONFLICT = "conflict"
-    # The documents would not be valid together.
+    # The documents would not be valid in combination.
     INVALID = "invalid"
     # The operator may not change this document.
     FORBIDDEN = "forbidden"
-    # The change's id was used for another change.
+    # The operator has used the change id for another change.
     ID_REUSED = "id_reused"
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """A document's new text, as an operator sends it.
+    """A document's new text, as sent by an operator.
 
-    A resend carries the same `change_id`, which is unique for an operator.
+    `change_id` is unique per operator; a resend has the same id.
     """
 
     change_id: str
-    # "base", or a site for its overlay.
+    # "base", or the name of a site for its overlay.
     document: str
-    # Whole text; "" removes an overlay.
+    # Complete text; "" removes an overlay.
     text: str
     # Revision at which the operator read the document, 0 for none.
     from_revision: int
     operator: str
-    # Site of the operator, "" for one of the base.
+    # Site of the operator, "" for an operator of the base.
     site: str
 
 
 @dataclass(frozen=True, slots=True)
 class Winner:
-    """The change that stands in place of a refused one."""
+    """The committed change that conflicts with a refused one."""
 
     revision: int
     change_id: str
@@ -69,10 +69,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeAnswer:
-    """How a change ended, the same for each resend."""
+    """Result of a change, the same for each resend."""
 
     status: ChangeStatus
-    # Revision that the change made, or that stood when it was refused.
+    # Revision that the change created, or the one at which it was refused.
     revision: int
     winner: Winner | None = None
     findings: tuple[Finding, ...] = ()
@@ -89,11 +89,11 @@
 
 
 def encode_change(change: Change, last_text: str | None = None) -> bytes:
-    """Return the command for `change`.
+    """Return the log command for `change`.
 
-    With `last_text`, the document's text at `from_revision`, the command holds
-    only what differs from it. Raise `Failure` with `INVALID_REQUEST` or
-    `BODY_TOO_LARGE` for a change that no log should carry.
+    With `last_text`, the document's text at `from_revision`, the command contains
+    only the difference. Raise `Failure` with `INVALID_REQUEST` for a malformed
+    change and with `BODY_TOO_LARGE` for one that is too long for the log.
     """
     _check(change)
     command = configuration_pb2.ChangeCommand(
@@ -119,7 +119,7 @@
 
 
 def decode_answer(data: bytes) -> ChangeAnswer:
-    """Return the answer that a command's result holds."""
+    """Return the answer encoded in a command's result."""
     result = configuration_pb2.ChangeResult.FromString(data)
     winner = None
     if result.HasField("winner"):
--- a/src/pepperstep/configuration/checks.py
+++ b/src/pepperstep/configuration/checks.py
@@ -1,8 +1,9 @@
-"""Checks over all documents together: owners, references, keys and bounds.
+"""Checks across all documents: owners, references, keys and bounds.
 
-An entry belongs to the site of its overlay, or to the site that the base names
-in it; without one it belongs to the base. A site's entries refer to their own
-site's and the base's names only, so that no partner reaches into another's.
+An entry of an overlay belongs to the overlay's site. An entry of the base belongs
+to the site named in the entry, or to the base if it names none. A site's entries
+may refer only to names of the same site and of the base, so that no partner can
+access another partner's entries.
 """
 
 from collections.abc import Iterator, Mapping, Sequence
@@ -19,14 +20,14 @@
 )
 from pepperstep.errors import Finding
 
-__all__ = ["Part", "find_faults"]
+__all__ = ["TypedDocument", "find_faults"]
 
 
 @dataclass(frozen=True, slots=True, eq=False)
-class Part:
-    """One document, typed, with the names that it has in each section.
+class TypedDocument:
+    """A validated document with the names of the entries in each section.
 
-    The names include those of entries that are faulty and not in `body`.
+    `names` includes faulty entries, which are absent from `body`.
     """
 
     name: str
@@ -39,20 +40,22 @@
         return Finding(self.file, key_path(keys), text)
 
 
-def find_faults(parts: Sequence[Part]) -> list[Finding]:
-    """Return all that is wrong between valid documents, the base first."""
-    base, *overlays = parts
+def find_faults(documents: Sequence[TypedDocument]) -> list[Finding]:
+    """Return all faults across valid documents; the first document is the base."""
+    base, *overlays = documents
     return [
         *_site_faults(base, overlays),
         *_limit_faults(base),
         *_owner_faults(base, overlays),
-        *_reference_faults(parts),
-        *_replica_faults(parts),
-        *_key_faults(parts),
+        *_reference_faults(documents),
+        *_replica_faults(documents),
+        *_key_faults(documents),
     ]
 
 
-def _site_faults(base: Part, overlays: Sequence[Part]) -> Iterator[Finding]:
+def _site_faults(
+    base: TypedDocument, overlays: Sequence[TypedDocument]
+) -> Iterator[Finding]:
     sites = base.body.sites
     if not sites:
         yield base.finding("must name at least one site", "sites")
@@ -64,18 +67,18 @@
                 text = f"{entry.site} is no site"
                 yield base.finding(text, section, name, "site")
     seen: set[str] = set()
-    for part in overlays:
-        site = part.body.site
-        if site != part.name:
-            yield part.finding(f"must be {part.name}, not {site}", "site")
-        if part.name not in sites:
-            yield part.finding(f"{part.name} is no site of the base", "site")
-        if part.name in seen:
-            yield part.finding(f"{part.name} has another overlay", "site")
-        seen.add(part.name)
-
-
-def _limit_faults(base: Part) -> Iterator[Finding]:
+    for document in overlays:
+        site = document.body.site
+        if site != document.name:
+            yield document.finding(f"must be {document.name}, not {site}", "site")
+        if document.name not in sites:
+            yield document.finding(f"{document.name} is no site of the base", "site")
+        if document.name in seen:
+            yield document.finding(f"{document.name} has another overlay", "site")
+        seen.add(document.name)
+
+
+def _limit_faults(base: TypedDocument) -> Iterator[Finding]:
     limits: Limits = base.body.limits
     for name in ("outcome_seconds", "default_deadline_seconds"):
         if getattr(limits, name) >= limits.claim_seconds:
@@ -83,18 +86,20 @@
             yield base.finding(text, "limits", "claim_seconds")
 
 
-def _owner_faults(base: Part, overlays: Sequence[Part]) -> Iterator[Finding]:
+def _owner_faults(
+    base: TypedDocument, overlays: Sequence[TypedDocument]
+) -> Iterator[Finding]:
     for section in SECTIONS:
         entries = getattr(base.body, section)
-        # Whose a faulty entry is can't be told.
+        # The owner of a faulty entry is unknown.
         unknown = base.names[section] - entries.keys()
         owners = {name: entry.site or BASE for name, entry in entries.items()}
-        for part in overlays:
-            for name in sorted(part.names[section] - unknown):
-                owner = owners.setdefault(name, part.name)
-                if owner != part.name:
-                    yield part.finding(_owner_text(owner), section, name)
-            yield from _overlay_entry_faults(part, section, owners)
+        for document in overlays:
+            for name in sorted(document.names[section] - unknown):
+                owner = owners.setdefault(name, document.name)
+                if owner != document.name:
+                    yield document.finding(_owner_text(owner), section, name)
+            yield from _overlay_entry_faults(document, section, owners)
 
 
 def _owner_text(owner: str) -> str:
@@ -104,76 +109,80 @@
 
 
 def _overlay_entry_faults(
-    part: Part, section: str, owners: Mapping[str, str]
+    document: TypedDocument, section: str, owners: Mapping[str, str]
 ) -> Iterator[Finding]:
-    for name, entry in getattr(part.body, section).items():
-        if entry.site != part.name and owners.get(name) == part.name:
-            yield part.finding(f"must be {part.name}", section, name, "site")
+    for name, entry in getattr(document.body, section).items():
+        if entry.site != document.name and owners.get(name) == document.name:
+            yield document.finding(f"must be {document.name}", section, name, "site")
         if section == "operators" and entry.may_change_base:
             text = "can be set in the base only"
-            yield part.finding(text, section, name, "may_change_base")
+            yield document.finding(text, section, name, "may_change_base")
 
 
-def _reference_faults(parts: Sequence[Part]) -> Iterator[Finding]:
-    known = frozenset().union(*(part.names["workspaces"] for part in parts))
+def _reference_faults(documents: Sequence[TypedDocument]) -> Iterator[Finding]:
+    known = frozenset().union(*(document.names["workspaces"] for document in documents))
     owners: dict[str, str] = {}
-    for part in parts:
-        for name, entry in part.body.workspaces.items():
+    for document in documents:
+        for name, entry in document.body.workspaces.items():
             owners.setdefault(name, entry.site)
-    for part in parts:
-        for section, name, site, key, workspace in _references(part):
+    for document in documents:
+        for section, name, site, key, workspace in _references(document):
             if workspace not in known:
                 text = f"{workspace} is no workspace"
-                yield part.finding(text, section, name, key)
+                yield document.finding(text, section, name, key)
             elif site and owners.get(workspace, "") not in ("", site):
                 text = f"{workspace} belongs to site {owners[workspace]}"
-                yield part.finding(text, section, name, key)
+                yield document.finding(text, section, name, key)
 
 
-def _references(part: Part) -> Iterator[tuple[str, str, str, str, str]]:
-    for name, caller in part.body.callers.items():
+def _references(document: TypedDocument) -> Iterator[tuple[str, str, str, str, str]]:
+    for name, caller in document.body.callers.items():
         yield "callers", name, caller.site, "workspace", caller.workspace
     for section in ("deployments", "services"):
-        for name, entry in getattr(part.body, section).items():
+        for name, entry in getattr(document.body, section).items():
             for workspace in entry.workspaces:
                 yield section, name, entry.site, "workspaces", workspace
 
 
-def _replica_faults(parts: Sequence[Part]) -> Iterator[Finding]:
-    for part in parts:
-        for name, deployment in part.body.deployments.items():
-            if _has_crossed_bounds(deployment):
+def _replica_faults(documents: Sequence[TypedDocument]) -> Iterator[Finding]:
+    for document in documents:
+        for name, deployment in document.body.deployments.items():
+            if _has_inverted_bounds(deployment):
                 text = f"is above max_replicas, {deployment.max_replicas}"
-                yield part.finding(text, "deployments", name, "min_replicas")
+                yield document.finding(text, "deployments", name, "min_replicas")
 
 
-def _has_crossed_bounds(deployment: Deployment) -> bool:
+def _has_inverted_bounds(deployment: Deployment) -> bool:
     return deployment.min_replicas > deployment.max_replicas
 
 
-def _key_faults(parts: Sequence[Part]) -> Iterator[Finding]:
-    """Find keys with two uses; an overlay's entry replaces the base's own."""
+def _key_faults(documents: Sequence[TypedDocument]) -> Iterator[Finding]:
+    """Yield keys that two entries share.
+
+    An overlay's entry replaces the base's entry of the same name, so the replaced
+    entry's key isn't checked.
+    """
     holders: dict[str, tuple[str, str]] = {}
     replaced = {
         (section, name)
-        for part in parts[1:]
+        for document in documents[1:]
         for section in ("callers", "operators")
-        for name in part.names[section]
+        for name in document.names[section]
     }
-    for part in parts:
-        for section, name, key_hash in _keys(part):
-            if part is parts[0] and (section, name) in replaced:
+    for document in documents:
+        for section, name, key_hash in _keys(document):
+            if document is documents[0] and (section, name) in replaced:
                 continue
             holder = holders.setdefault(key_hash, (section, name))
             if holder != (section, name):
                 text = f"has the same key as {key_path(holder)}"
-                yield part.finding(text, section, name)
+                yield document.finding(text, section, name)
 
 
-def _keys(part: Part) -> Iterator[tuple[str, str, str]]:
-    if isinstance(part.body, BaseDocument):
-        for number, key_hash in enumerate(part.body.upstream_keys):
+def _keys(document: TypedDocument) -> Iterator[tuple[str, str, str]]:
+    if isinstance(document.body, BaseDocument):
+        for number, key_hash in enumerate(document.body.upstream_keys):
             yield "upstream_keys", str(number), key_hash
     for section in ("callers", "operators"):
-        for name, entry in getattr(part.body, section).items():
+        for name, entry in getattr(document.body, section).items():
             yield section, name, entry.key_sha256
--- a/src/pepperstep/configuration/documents.py
+++ b/src/pepperstep/configuration/documents.py
@@ -1,6 +1,6 @@
-"""Documents of the configuration: read from TOML, merged, validated whole.
+"""Configuration documents: parsing from TOML, merging and validation.
 
-An overlay's entry is merged, value by value, over the base's entry of the same
+Each value of an overlay's entry overrides that of the base's entry of the same
 name. All faults are collected and raised together as `InvalidDocument`.
 """
 
@@ -31,23 +31,23 @@
 _BASE_ADAPTER = TypeAdapter(BaseDocument)
 _OVERLAY_ADAPTER = TypeAdapter(OverlayDocument)
 _BASE_ONLY = frozenset({"sites", "limits", "upstream_keys"})
-_TEXTS = {
+_FAULT_TEXTS = {
     "missing": "is missing",
     "unexpected_keyword_argument": "is not a known key",
     "dataclass_type": "must be a table",
     "dict_type": "must be a table",
     "tuple_type": "must be an array",
 }
-_SYNTAX_PLACE = re.compile(r"(?P<text>.*) \(at (?P<place>[^()]*)\)$", re.DOTALL)
+_SYNTAX_ERROR = re.compile(r"(?P<text>.*) \(at (?P<place>[^()]*)\)$", re.DOTALL)
 
 T = TypeVar("T", BaseDocument, OverlayDocument)
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Document:
-    """One document as read: its name, where it came from, and its table.
+    """A parsed document: its name, source file and table.
 
-    The table is shared and must not be changed.
+    The table is shared with a cache and must not be modified.
     """
 
     name: str
@@ -55,16 +55,16 @@
     table: Mapping[str, Any]
 
     def entries(self, section: str) -> Mapping[str, Any]:
-        """Return the section's entries by name, none if it is no table."""
+        """Return the section's entries by name, empty if it isn't a table."""
         entries = self.table.get(section)
         return entries if isinstance(entries, dict) else {}
 
 
 def parse(text: str | bytes, name: str, file: str = "") -> Document:
-    """Return the document `name` that `text` holds.
+    """Parse `text` as the document `name`.
 
-    `file` stands in the findings, `name` if it is empty. Raise
-    `InvalidDocument` if the text is no TOML.
+    Findings name `file`, or `name` if `file` is empty. Raise `InvalidDocument` if
+    the text isn't valid TOML or is too long.
     """
     file = file or name
     try:
@@ -88,24 +88,24 @@
 def merge(
     base: Document, overlays: Iterable[Document], revision: int = 0
 ) -> Configuration:
-    """Return the configuration that the documents make together.
+    """Return the configuration that results from merging the documents.
 
-    Raise `InvalidDocument` with all that is wrong in any of them.
+    Raise `InvalidDocument` with all faults of all documents.
     """
     overlays = list(overlays)
     findings: list[Finding] = []
-    typed_base = _validated(_BASE_ADAPTER, base.file, base.table, findings)
+    typed_base = _validate(_BASE_ADAPTER, base.file, base.table, findings)
     base_paths = frozenset(finding.path for finding in findings)
-    parts = [_part(base, typed_base)]
+    typed_documents = [_typed_document(base, typed_base)]
     for overlay in overlays:
-        table = _filled(overlay, base)
-        typed = _validated(_OVERLAY_ADAPTER, overlay.file, table, findings, base_paths)
-        parts.append(_part(overlay, typed))
-    if all(part.body is not None for part in parts):
-        findings += checks.find_faults(parts)
+        table = _with_base_values(overlay, base)
+        typed = _validate(_OVERLAY_ADAPTER, overlay.file, table, findings, base_paths)
+        typed_documents.append(_typed_document(overlay, typed))
+    if all(typed_document.body is not None for typed_document in typed_documents):
+        findings += checks.find_faults(typed_documents)
     if findings:
-        raise InvalidDocument(_distinct(findings))
-    return _combined(parts, revision)
+        raise InvalidDocument(_deduplicate(findings))
+    return _combine(typed_documents, revision)
 
 
 @functools.lru_cache(maxsize=_CACHED_DOCUMENTS)
@@ -114,47 +114,51 @@
 
 
 def _syntax_finding(error: ValueError, file: str) -> Finding:
-    found = _SYNTAX_PLACE.match(str(error))
+    found = _SYNTAX_ERROR.match(str(error))
     if found is None:
         return Finding(file, "document", f"is no TOML: {error}")
     return Finding(file, found["place"], f"is no TOML: {found['text']}")
 
 
-def _part(document: Document, body: BaseDocument | OverlayDocument | None):
+def _typed_document(document: Document, body: BaseDocument | OverlayDocument | None):
     names = {section: frozenset(document.entries(section)) for section in SECTIONS}
-    return checks.Part(document.name, document.file, body, names)
+    return checks.TypedDocument(document.name, document.file, body, names)
 
 
-def _filled(overlay: Document, base: Document) -> dict[str, Any]:
-    """Return the overlay's table with what its entries take from the base."""
+def _with_base_values(overlay: Document, base: Document) -> dict[str, Any]:
+    """Return the overlay's table, its entries completed with the base's values."""
     table = dict(overlay.table)
     for section in SECTIONS:
         entries = overlay.entries(section)
         if not entries:
             continue
-        shared = base.entries(section)
+        base_entries = base.entries(section)
         table[section] = {
-            name: _filled_entry(shared.get(name), entry, overlay.name)
+            name: _entry_with_base_values(base_entries.get(name), entry, overlay.name)
             for name, entry in entries.items()
         }
     return table
 
 
-def _filled_entry(shared: Any, entry: Any, site: str) -> Any:
+def _entry_with_base_values(base_entry: Any, entry: Any, site: str) -> Any:
     if not isinstance(entry, dict):
         return entry
-    start = shared if isinstance(shared, dict) else {"site": site}
-    return {**start, **entry}
+    defaults = base_entry if isinstance(base_entry, dict) else {"site": site}
+    return {**defaults, **entry}
 
 
-def _validated(
+def _validate(
     adapter: TypeAdapter[T],
     file: str,
     table: Mapping[str, Any],
     findings: list[Finding],
     reported: frozenset[str] = frozenset(),
 ) -> T | None:
-    """Return the typed document without its faulty entries, if that's possible."""
+    """Return the typed document without its faulty entries.
+
+    Return None if the document isn't valid without them either. Append a finding
+    for each fault whose path isn't in `reported`.
+    """
     try:
         return adapter.validate_python(table)
     except ValidationError as error:
@@ -163,11 +167,13 @@
         )
     for fault in faults:
         path = key_path(fault["loc"])
-        # What an overlay's entry takes from the base is reported there.
+        # A fault in a value inherited from the base is reported for the base.
         if path not in reported:
             findings.append(Finding(file, path, _fault_text(fault)))
     try:
-        return adapter.validate_python(_pruned(table, [f["loc"] for f in faults]))
+        return adapter.validate_python(
+            _without_faults(table, [f["loc"] for f in faults])
+        )
     except ValidationError:
         return None
 
@@ -176,10 +182,10 @@
     is_unknown = fault["type"] == "unexpected_keyword_argument"
     if is_unknown and fault["loc"][0] in _BASE_ONLY and len(fault["loc"]) == 1:
         return "stands in the base only"
-    return _TEXTS.get(fault["type"], fault["msg"])
+    return _FAULT_TEXTS.get(fault["type"], fault["msg"])
 
 
-def _pruned(
+def _without_faults(
     table: Mapping[str, Any], places: list[tuple[int | str, ...]]
 ) -> dict[str, Any]:
     kept = {
@@ -195,17 +201,19 @@
     return kept
 
 
-def _distinct(findings: list[Finding]) -> list[Finding]:
+def _deduplicate(findings: list[Finding]) -> list[Finding]:
     return list(dict.fromkeys(findings))
 
 
-def _combined(parts: list[checks.Part], revision: int) -> Configuration:
-    base = parts[0].body
+def _combine(
+    typed_documents: list[checks.TypedDocument], revision: int
+) -> Configuration:
+    base = typed_documents[0].body
     sections = {
         section: {
             name: entry
-            for part in parts
-            for name, entry in getattr(part.body, section).items()
+            for typed_document in typed_documents
+            for name, entry in getattr(typed_document.body, section).items()
         }
         for section in SECTIONS
     }
--- a/src/pepperstep/configuration/keys.py
+++ b/src/pepperstep/configuration/keys.py
@@ -1,7 +1,7 @@
-"""Keys of callers, operators and upstreams, known by their hashes only.
+"""Keys of callers, operators and upstreams, stored only as hashes.
 
-A key is looked up by its hash, which tells nothing about the key through the
-time that the lookup takes; the match is then compared in constant time.
+A key is looked up by its hash, so the time of the lookup reveals nothing about
+the key. The match is then compared in constant time.
 """
 
 import hashlib
@@ -24,7 +24,7 @@
 
 
 def find_caller(configuration: Configuration, key: str) -> Caller | None:
-    """Return the caller whose key it is."""
+    """Return the caller with the key `key`, None if there is none."""
     key_hash = hash_key(key)
     name = configuration.callers_by_key.get(key_hash)
     if name is None:
@@ -34,7 +34,7 @@
 
 
 def find_operator(configuration: Configuration, key: str) -> str | None:
-    """Return the name of the operator whose key it is."""
+    """Return the name of the operator with the key `key`, None if there is none."""
     key_hash = hash_key(key)
     name = configuration.operators_by_key.get(key_hash)
     if name is None:
--- a/src/pepperstep/configuration/machine.py
+++ b/src/pepperstep/configuration/machine.py
@@ -1,7 +1,8 @@
-"""The agreed configuration: changes applied in the order of the log.
+"""State machine of the replicated configuration.
 
-The first change of a document from a revision wins. An operator's resend of a
-change gets the first answer again, from a table of bounded size.
+Changes are applied in the order of the log; the first change of a document from a
+given revision wins. An operator's resend of a change gets the first answer again,
+from a table of bounded size.
 """
 
 import hashlib
@@ -32,17 +33,18 @@
 # Name under which the machine is registered with the log.
 MACHINE_NAME = "configuration"
 
-# Answers kept for resends: for each site, and by the revisions since.
-_ANSWERS_PER_SITE = 4096
-_ANSWER_REVISIONS = 65_536
+# Bounds of the answers kept for resends: answers per site, and the number of
+# revisions after which an answer is dropped.
+_MAX_ANSWERS_PER_SITE = 4096
+_MAX_ANSWER_AGE_REVISIONS = 65_536
 
 _MAX_FINDINGS = 50
-# All documents together, so that they fit one message to a peer.
+# Limit for all documents together, so that they fit in one message to a peer.
 _MAX_TOTAL_BYTES = 3 * 1024 * 1024
 
 
 def merge_texts(texts: Mapping[str, str], revision: int) -> Configuration:
-    """Return the configuration of documents by name, some of them empty.
+    """Return the configuration of documents by name; empty overlays are skipped.
 
     Raise `InvalidDocument` with all findings.
     """
@@ -63,7 +65,7 @@
 
 
 class ConfigurationMachine:
-    """Machine of the configuration on a control host.
+    """Replicated state machine of the configuration on a control host.
 
     `on_change` is called after each accepted change and after a restore.
     """
@@ -77,16 +79,16 @@
 
     @property
     def versions(self) -> DocumentVersions:
-        """Texts of the documents in force."""
+        """Texts of the documents at the current revision."""
         return self._versions
 
     @property
     def configuration(self) -> Configuration:
-        """The documents merged."""
+        """The merged documents."""
         return self._configuration
 
     def apply(self, index: int, command: bytes) -> bytes:
-        """Carry out a `ChangeCommand`, return a `ChangeResult`."""
+        """Apply a serialized `ChangeCommand`, return a serialized `ChangeResult`."""
         try:
             change = ChangeCommand.FromString(command)
         except DecodeError:
@@ -101,7 +103,7 @@
         return result.SerializeToString()
 
     def snapshot(self) -> bytes:
-        """Return a `ConfigurationState`."""
+        """Return the state as a serialized `ConfigurationState`."""
         state = ConfigurationState(
             revision=self._versions.revision,
             texts=self._versions.changed_texts(),
@@ -112,7 +114,10 @@
         return state.SerializeToString()
 
     def restore(self, data: bytes) -> None:
-        """Take the state of a snapshot; raise `Failure` if it can't be read."""
+        """Restore the state of a snapshot.
+
+        Raise `Failure` with `CORRUPT_STORAGE` if the snapshot can't be decoded.
+        """
         try:
             state = ConfigurationState.FromString(data)
         except DecodeError as error:
@@ -131,7 +136,7 @@
         if not self._is_authorized(change):
             return ChangeResult(status=ChangeStatus.FORBIDDEN, revision=revision)
         record = self._changes.get(change.document, ChangeRecord())
-        if _repeats(change, record):
+        if _has_same_content(change, record):
             return ChangeResult(
                 status=ChangeStatus.ACCEPTED, revision=record.revision, winner=record
             )
@@ -162,7 +167,7 @@
         return text
 
     def _splice_text(self, change: ChangeCommand) -> str | None:
-        """Return the changed text, None for a splice that doesn't fit."""
+        """Return the changed text, None if the splice doesn't fit the last text."""
         last = self._versions.text_of(change.document)
         try:
             return apply_splices(last, [change.splice])
@@ -176,7 +181,7 @@
             raise InvalidDocument([Finding(change.document, "document", fault)])
         configuration = merge_texts(texts, self._versions.revision + 1)
         if change.document == BASE:
-            _check_operator_stays(configuration, change.operator)
+            _check_operator_keeps_access(configuration, change.operator)
         revision = self._versions.put(change.document, text)
         self._configuration = configuration
         self._changes[change.document] = ChangeRecord(
@@ -193,17 +198,20 @@
 
 
 class _AnswerTable:
-    """Answers to the last changes of each site."""
+    """Answers to the last changes of each site, for idempotent resends."""
 
     def __init__(self, records: list[RecordedAnswer] = ()):
         self._records: dict[tuple[str, str], RecordedAnswer] = {}
         # Keys of the records by site, oldest first.
-        self._orders: dict[str, deque[tuple[str, str]]] = {}
+        self._keys_by_site: dict[str, deque[tuple[str, str]]] = {}
         for record in records:
             self._add(record)
 
     def find(self, change: ChangeCommand) -> bytes | None:
-        """Return the answer that the change got before."""
+        """Return the recorded answer to a change, None for a new change.
+
+        The answer is `ID_REUSED` if the id belongs to another change.
+        """
         record = self._records.get((change.operator, change.change_id))
         if record is None:
             return None
@@ -215,7 +223,7 @@
     def record(
         self, change: ChangeCommand, result: ChangeResult, revision: int
     ) -> None:
-        """Keep an answer, and drop those that are too many or too old."""
+        """Record an answer and drop the excess and outdated ones."""
         record = RecordedAnswer(
             site=change.site,
             operator=change.operator,
@@ -225,44 +233,47 @@
             result=result.SerializeToString(),
         )
         self._add(record)
-        for site in sorted(self._orders):
+        for site in sorted(self._keys_by_site):
             self._prune(site, revision)
 
     def records(self) -> list[RecordedAnswer]:
-        """Return all that is kept, oldest first for each site."""
+        """Return all recorded answers, oldest first within each site."""
         return [
             self._records[key]
-            for site in sorted(self._orders)
-            for key in self._orders[site]
+            for site in sorted(self._keys_by_site)
+            for key in self._keys_by_site[site]
         ]
 
     def _add(self, record: RecordedAnswer) -> None:
         key = (record.operator, record.change_id)
         self._records[key] = record
-        self._orders.setdefault(record.site, deque()).append(key)
+        self._keys_by_site.setdefault(record.site, deque()).append(key)
 
     def _prune(self, site: str, revision: int) -> None:
-        order = self._orders[site]
-        while order and self._is_surplus(order, revision):
-            del self._records[order.popleft()]
-        if not order:
-            del self._orders[site]
-
-    def _is_surplus(self, order: deque[tuple[str, str]], revision: int) -> bool:
-        oldest = self._records[order[0]].revision
-        return len(order) > _ANSWERS_PER_SITE or revision - oldest > _ANSWER_REVISIONS
+        keys = self._keys_by_site[site]
+        while keys and self._is_expired(keys, revision):
+            del self._records[keys.popleft()]
+        if not keys:
+            del self._keys_by_site[site]
+
+    def _is_expired(self, keys: deque[tuple[str, str]], revision: int) -> bool:
+        oldest = self._records[keys[0]].revision
+        return (
+            len(keys) > _MAX_ANSWERS_PER_SITE
+            or revision - oldest > _MAX_ANSWER_AGE_REVISIONS
+        )
 
 
 def _change_digest(change: ChangeCommand) -> bytes:
-    """Return a hash that is equal for resends, sent whole or as a splice."""
+    """Return a hash that is equal for resends, whether as a text or a splice."""
     parts = (change.document, str(change.from_revision), change.site)
     digest = hashlib.sha256("\0".join(parts).encode())
     digest.update(change.digest)
     return digest.digest()
 
 
-def _repeats(change: ChangeCommand, record: ChangeRecord) -> bool:
-    """Whether another change id brings what has already won."""
+def _has_same_content(change: ChangeCommand, record: ChangeRecord) -> bool:
+    """Return whether the change equals the last committed one except for its id."""
     return (
         record.revision > 0
         and change.from_revision == record.from_revision
@@ -270,7 +281,7 @@
     )
 
 
-def _check_operator_stays(configuration: Configuration, operator: str) -> None:
+def _check_operator_keeps_access(configuration: Configuration, operator: str) -> None:
     entry = configuration.operators.get(operator)
     if entry is None or not entry.may_change_base:
         text = f"{operator or 'the operator'} could not change the base any more"
--- a/src/pepperstep/configuration/origins.py
+++ b/src/pepperstep/configuration/origins.py
@@ -1,4 +1,4 @@
-"""Origin of each value of a configuration: a document, or the default."""
+"""Origin of each value of a configuration: a document or the default."""
 
 import dataclasses
 from collections.abc import Iterable, Iterator, Mapping
@@ -13,34 +13,34 @@
 
 __all__ = ["DEFAULT", "Origin", "origins"]
 
-# Stands in place of a document's name for a value that none of them sets.
+# Origin of a value that no document sets.
 DEFAULT = "default"
 
-_BASE_PARTS = ("sites", "limits", "upstream_keys")
+_BASE_SECTIONS = ("sites", "limits", "upstream_keys")
 
 
 @dataclass(frozen=True, slots=True)
 class Origin:
-    """One value in force and the document that it comes from."""
+    """A value of the merged configuration and the document that sets it."""
 
     # Key path, as in "deployments.chat.max_replicas".
     path: str
     # The value as JSON.
     value: str
-    # "base", the site of an overlay, or "default".
+    # "base", the site of an overlay or "default".
     document: str
 
 
 def origins(base: Document, overlays: Iterable[Document]) -> list[Origin]:
     """Return each value of the merged documents, sorted by path.
 
-    Raise `InvalidDocument` if they are not valid together.
+    Raise `InvalidDocument` if the documents are not valid in combination.
     """
     overlays = list(overlays)
     configuration = merge(base, overlays)
     found: list[Origin] = []
-    for part in (*_BASE_PARTS, *SECTIONS):
-        value = _plain(getattr(configuration, part))
+    for part in (*_BASE_SECTIONS, *SECTIONS):
+        value = _to_plain(getattr(configuration, part))
         for keys, leaf in _leaves((part,), value):
             found.append(_origin(keys, leaf, base, overlays))
     return sorted(found, key=lambda origin: origin.path)
@@ -51,12 +51,12 @@
 ) -> Origin:
     text = msgspec.json.encode(leaf).decode()
     for document in (*overlays, base):
-        if _holds(document.table, keys):
+        if _has_value(document.table, keys):
             return Origin(key_path(keys), text, document.name)
     return Origin(key_path(keys), text, DEFAULT)
 
 
-def _holds(table: Mapping[str, Any], keys: tuple[str, ...]) -> bool:
+def _has_value(table: Mapping[str, Any], keys: tuple[str, ...]) -> bool:
     value: Any = table
     for key in keys:
         if not isinstance(value, dict) or key not in value:
@@ -65,9 +65,9 @@
     return True
 
 
-def _plain(value: Any) -> Any:
+def _to_plain(value: Any) -> Any:
     if isinstance(value, dict):
-        return {key: _plain(item) for key, item in value.items()}
+        return {key: _to_plain(item) for key, item in value.items()}
     if dataclasses.is_dataclass(value):
         names = [item.name for item in dataclasses.fields(value)]
         return {name: getattr(value, name) for name in names}
--- a/src/pepperstep/configuration/paths.py
+++ b/src/pepperstep/configuration/paths.py
@@ -1,4 +1,4 @@
-"""Key paths in documents, written as TOML writes dotted keys."""
+"""Key paths in documents, in the notation of TOML's dotted keys."""
 
 import json
 import re
@@ -6,8 +6,8 @@
 
 __all__ = ["key_path"]
 
-_BARE = re.compile(r"[A-Za-z0-9_-]+")
-# Where pydantic points at a key in place of its value.
+_BARE_KEY = re.compile(r"[A-Za-z0-9_-]+")
+# Element that pydantic appends to the location of a fault in a key.
 _KEY_MARK = "[key]"
 
 
@@ -25,4 +25,4 @@
 
 
 def _quoted(key: str) -> str:
-    return key if _BARE.fullmatch(key) else json.dumps(key)
+    return key if _BARE_KEY.fullmatch(key) else json.dumps(key)
--- a/src/pepperstep/configuration/push.py
+++ b/src/pepperstep/configuration/push.py
@@ -1,7 +1,7 @@
-"""Pushes of new revisions down a tree of hosts.
+"""Dissemination of new revisions along a tree of hosts.
 
-The tree is laid anew for each revision, so that the work of its inner hosts
-goes round. Who can't reach a host takes over what stands below it.
+Each revision has its own tree, so that the load of the inner nodes rotates among
+the hosts. A host that can't reach a child pushes to the child's children instead.
 """
 
 from collections.abc import Callable, Sequence
@@ -15,15 +15,15 @@
 
 __all__ = ["PushTree"]
 
-_FAN_OUT = 4
-_ATTEMPTS = 3
-_CALL_SECONDS = 0.3
+_MAX_CHILDREN = 4
+_MAX_ATTEMPTS = 3
+_CALL_TIMEOUT_SECONDS = 0.3
 
 _ROOT = -1
 
 
 class PushTree:
-    """One host's part in the trees; `hosts` gives the names of all in them."""
+    """Pushes revisions from one host; `hosts` returns the names in the tree."""
 
     def __init__(
         self, name: str, network: PeerNetwork, hosts: Callable[[], Sequence[str]]
@@ -31,22 +31,22 @@
         self._name = name
         self._network = network
         self._hosts = hosts
-        self._forwarded = 0
+        self._forwarded_revision = 0
 
     def start_from_root(self, nursery: trio.Nursery, push: ConfigurationPush) -> None:
-        """Push to the first hosts of the tree."""
+        """Push to the top level of the tree."""
         order = self._order(push.update.revision)
-        self._start_below(nursery, order, _ROOT, push)
+        self._push_to_children(nursery, order, _ROOT, push)
 
     def start_forwarding(self, nursery: trio.Nursery, push: ConfigurationPush) -> None:
-        """Push to the hosts below this one, once for a revision."""
+        """Push to this host's children, once per revision."""
         revision = push.update.revision
-        if revision <= self._forwarded:
+        if revision <= self._forwarded_revision:
             return
-        self._forwarded = revision
+        self._forwarded_revision = revision
         order = self._order(revision)
         if self._name in order:
-            self._start_below(nursery, order, order.index(self._name), push)
+            self._push_to_children(nursery, order, order.index(self._name), push)
 
     def _order(self, revision: int) -> list[str]:
         def position(name: str) -> int:
@@ -54,15 +54,15 @@
 
         return sorted(self._hosts(), key=position)
 
-    def _start_below(
+    def _push_to_children(
         self,
         nursery: trio.Nursery,
         order: list[str],
         position: int,
         push: ConfigurationPush,
     ) -> None:
-        first = _FAN_OUT * (position + 1)
-        for child in range(first, min(first + _FAN_OUT, len(order))):
+        first = _MAX_CHILDREN * (position + 1)
+        for child in range(first, min(first + _MAX_CHILDREN, len(order))):
             nursery.start_soon(self._push_to, nursery, order, child, push)
 
     async def _push_to(
@@ -72,10 +72,10 @@
         position: int,
         push: ConfigurationPush,
     ) -> None:
-        for _ in range(_ATTEMPTS):
+        for _ in range(_MAX_ATTEMPTS):
             try:
-                await self._network.call(order[position], push, _CALL_SECONDS)
+                await self._network.call(order[position], push, _CALL_TIMEOUT_SECONDS)
             except Failure:
                 continue
             return
-        self._start_below(nursery, order, position, push)
+        self._push_to_children(nursery, order, position, push)
--- a/src/pepperstep/configuration/versions.py
+++ b/src/pepperstep/configuration/versions.py
@@ -1,7 +1,7 @@
-"""Texts of all documents at one revision, and the last steps towards it.
+"""Texts of all documents at one revision, and the last steps leading to it.
 
-Each revision changes one document, so that a host that is a few revisions
-behind needs only as many small steps.
+Each revision changes one document, so a host that is a few revisions behind needs
+only as many small steps.
 """
 
 from collections import deque
@@ -21,20 +21,20 @@
 
 __all__ = ["DocumentVersions", "TextVersion"]
 
-_KEPT_STEPS = 512
-_KEPT_STEP_BYTES = 128 * 1024
+_MAX_STEPS = 512
+_MAX_STEP_BYTES = 128 * 1024
 
 
 @dataclass(frozen=True, slots=True)
 class TextVersion:
-    """A document's text, and the revision that made it."""
+    """A document's text and the revision of its last change."""
 
     text: str
     revision: int
 
 
 class DocumentVersions:
-    """Texts that only go forward, from revision to revision."""
+    """The texts of all documents; updates only move the revision forward."""
 
     def __init__(self) -> None:
         self._revision = 0
@@ -44,7 +44,7 @@
 
     @property
     def revision(self) -> int:
-        """Revision that the texts make."""
+        """Revision of the texts."""
         return self._revision
 
     @property
@@ -63,7 +63,7 @@
         return version.revision if version else 0
 
     def put(self, document: str, text: str) -> int:
-        """Make the next revision with the document's new text and return it."""
+        """Create the next revision with the document's new text and return it."""
         splice = make_splice(self.text_of(document), text)
         step = RevisionStep(
             revision=self._revision + 1,
@@ -74,30 +74,34 @@
         self._advance(step, text)
         return self._revision
 
-    def take(self, update: ConfigurationUpdate) -> bool:
-        """Go forward by another host's update; False if it doesn't fit here.
+    def apply(self, update: ConfigurationUpdate) -> bool:
+        """Apply another host's update; return False if it doesn't fit this revision.
 
-        An update that is not newer fits and changes nothing.
+        An update that isn't newer changes nothing and returns True.
         """
         if update.revision <= self._revision:
             return True
         if update.since > self._revision:
             return False
         if update.steps:
-            return self._take_steps(update.steps) and self._revision >= update.revision
-        self._take_texts(update.revision, update.texts)
+            return self._apply_steps(update.steps) and self._revision >= update.revision
+        self._replace_texts(update.revision, update.texts)
         return True
 
     def update_since(
         self, revision: int, needs_texts: bool = False
     ) -> ConfigurationUpdate:
-        """Return what a host at `revision` lacks."""
+        """Return the update that a host at `revision` is missing.
+
+        It contains steps if all of them are still kept and `needs_texts` is False,
+        otherwise the complete texts of the changed documents.
+        """
         update = ConfigurationUpdate(since=revision, revision=self._revision)
         if revision >= self._revision:
             return update
         steps = [step for step in self._steps if step.revision > revision]
-        is_whole = len(steps) == self._revision - revision
-        if is_whole and not needs_texts:
+        has_all_steps = len(steps) == self._revision - revision
+        if has_all_steps and not needs_texts:
             update.steps.extend(steps)
         else:
             update.texts.extend(self.changed_texts(revision))
@@ -112,18 +116,18 @@
         ]
 
     def restore(self, revision: int, texts: Iterable[DocumentText]) -> None:
-        """Take a snapshot's texts, also where they are older."""
+        """Replace all texts by a snapshot's, even if the snapshot is older."""
         self._texts.clear()
-        self._take_texts(revision, texts)
+        self._replace_texts(revision, texts)
 
-    def _take_texts(self, revision: int, texts: Iterable[DocumentText]) -> None:
+    def _replace_texts(self, revision: int, texts: Iterable[DocumentText]) -> None:
         for text in texts:
             self._texts[text.name] = TextVersion(text.text, text.revision)
         self._revision = revision
         self._steps.clear()
         self._step_bytes = 0
 
-    def _take_steps(self, steps: Iterable[RevisionStep]) -> bool:
+    def _apply_steps(self, steps: Iterable[RevisionStep]) -> bool:
         for step in steps:
             if step.revision <= self._revision:
                 continue
@@ -142,7 +146,7 @@
         self._revision = step.revision
         self._steps.append(step)
         self._step_bytes += step.ByteSize()
-        while len(self._steps) > _KEPT_STEPS or self._step_bytes > _KEPT_STEP_BYTES:
+        while len(self._steps) > _MAX_STEPS or self._step_bytes > _MAX_STEP_BYTES:
             self._step_bytes -= self._steps.popleft().ByteSize()
 
 
--- a/tests/configuration/test_change_machine.py
+++ b/tests/configuration/test_change_machine.py
@@ -104,8 +104,8 @@
 
 
 def test_answers_are_kept_by_count_and_revisions_and_never_run_again(log, monkeypatch):
-    monkeypatch.setattr(machine_module, "_ANSWERS_PER_SITE", 3)
-    monkeypatch.setattr(machine_module, "_ANSWER_REVISIONS", 8)
+    monkeypatch.setattr(machine_module, "_MAX_ANSWERS_PER_SITE", 3)
+    monkeypatch.setattr(machine_module, "_MAX_ANSWER_AGE_REVISIONS", 8)
     old = change("kitahara", more(KITAHARA, 0), 3, change_id="old")
     other = change("bantayog", more(BANTAYOG, 99), 3, change_id="other")
     answers = [log.send(old), log.send(other)]
--- a/tests/configuration/test_distribution.py
+++ b/tests/configuration/test_distribution.py
@@ -7,7 +7,7 @@
 import trio
 from hypothesis import given, settings, strategies as st
 
-from pepperstep.configuration import choice as choice_module
+from pepperstep.configuration import peer_selector as peer_selector_module
 from pepperstep.configuration.stored import load_stored, save_stored
 from pepperstep.configuration.versions import DocumentVersions
 from pepperstep.errors import Code, Failure
@@ -31,7 +31,7 @@
 
 @pytest.fixture
 def no_polls(monkeypatch):
-    monkeypatch.setattr(choice_module, "_POLL_SECONDS", 1000.0)
+    monkeypatch.setattr(peer_selector_module, "_POLL_PERIOD_SECONDS", 1000.0)
 
 
 async def test_in_force_everywhere_with_losses_and_an_isolated_host(autojump_clock):
@@ -225,7 +225,7 @@
 async def test_late_and_doubled_pushes_neither_revert_nor_refresh(autojump_clock):
     async with open_cluster(entries=4) as cluster:
         store = cluster.stores["e0"]
-        old = store._held.update_since(0, needs_texts=True)
+        old = store._received.update_since(0, needs_texts=True)
         await cluster.apply("bantayog", more(BANTAYOG, 1))
         await trio.sleep(IN_FORCE_SECONDS)
         cluster.network.isolate("e0")
@@ -241,10 +241,10 @@
 async def test_step_that_leads_elsewhere_is_mended_by_whole_texts(autojump_clock):
     async with open_cluster(entries=4) as cluster:
         store = cluster.stores["e0"]
-        texts = store._held.changed_texts()
+        texts = store._received.changed_texts()
         assert texts[0].name == "bantayog"
         texts[0].text += "# Not what the others hold.\n"
-        store._held.restore(3, texts)
+        store._received.restore(3, texts)
         revision = await cluster.apply("bantayog", more(BANTAYOG, 1))
         await trio.sleep(IN_FORCE_SECONDS)
         assert cluster.lagging(revision) == []
@@ -291,7 +291,7 @@
         rng = random.Random(length)
         for revision in range(length):
             following = DocumentVersions()
-            following.take(self.versions[-1].update_since(0))
+            following.apply(self.versions[-1].update_since(0))
             name = rng.choice("ab")
             following.put(name, following.text_of(name) + f"{revision}\n")
             self.versions.append(following)
@@ -310,10 +310,10 @@
 @given(st.lists(_UPDATES, max_size=12), st.integers(0, 8))
 def test_updates_in_any_order_only_lead_forward(updates, start):
     held = DocumentVersions()
-    held.take(_SENDER.versions[start].update_since(0))
+    held.apply(_SENDER.versions[start].update_since(0))
     for update in updates:
         before = held.revision
-        fits = held.take(update)
+        fits = held.apply(update)
         assert held.revision == (max(before, update.revision) if fits else before)
         assert fits or update.since > before
         assert held.texts == _SENDER.versions[held.revision].texts
@@ -327,5 +327,5 @@
     wrong.steps[0].splice.CopyFrom(Splice(start=5, inserted="x"))
     short = ConfigurationUpdate(since=0, revision=9, steps=update.steps)
     for damaged, revision in ((gap, 0), (wrong, 0), (short, 8)):
-        assert not held.take(damaged)
+        assert not held.apply(damaged)
         assert held.revision == revision
