--- a/tests/configuration/cluster.py
+++ b/tests/configuration/cluster.py
@@ -1,4 +1,4 @@
-"""Hosts with a configuration store each, in one process."""
+"""Cluster of hosts with a configuration store each, in one process."""
 
 import contextlib
 import random
@@ -18,7 +18,7 @@
 
 
 class Cluster:
-    """Control hosts c0.. with disks and entry hosts e0.. without."""
+    """Control hosts c0, c1, ... with disks and entry hosts e0, e1, ... without."""
 
     def __init__(self, nursery, controls=3, entries=17):
         self.nursery = nursery
@@ -73,7 +73,7 @@
         return answer.revision
 
     async def apply_all(self):
-        """Bring the three documents in force."""
+        """Apply the three documents and wait until they are active on c0."""
         for document, text in [
             ("base", BASE_TEXT),
             ("kitahara", KITAHARA),
@@ -82,7 +82,7 @@
             revision = await self.apply(document, text)
             await self.stores["c0"].wait_for(revision)
 
-    def lagging(self, revision):
+    def lagging_hosts(self, revision):
         return [
             name
             for name, store in self.stores.items()
@@ -92,12 +92,12 @@
 
 @contextlib.asynccontextmanager
 async def open_cluster(**sizes):
-    """Yield a cluster whose hosts all run, and are ready."""
+    """Yield a cluster in which all hosts are ready at revision 3."""
     async with trio.open_nursery() as nursery:
         cluster = Cluster(nursery, **sizes)
         await cluster.start()
         await cluster.apply_all()
         await trio.sleep(2.0)
-        assert cluster.lagging(3) == []
+        assert cluster.lagging_hosts(3) == []
         yield cluster
         nursery.cancel_scope.cancel()
--- a/tests/configuration/test_change_machine.py
+++ b/tests/configuration/test_change_machine.py
@@ -1,4 +1,9 @@
-"""Changes in the log: who wins, resends, rights, snapshots."""
+"""State machine of the configuration: conflicts, resends, permissions, snapshots.
+
+Guards against two accepted changes from the same revision, against a resend that is
+applied twice or gets another answer, and against changes beyond an operator's
+rights. Concurrent operators, lost answers and restarts bring these about.
+"""
 
 import dataclasses
 
@@ -17,7 +22,7 @@
 
 
 class Log:
-    """Machines of some control hosts, fed with the same commands."""
+    """State machines of several control hosts that apply the same commands."""
 
     def __init__(self, count=2):
         self.machines = [ConfigurationMachine() for _ in range(count)]
@@ -31,7 +36,7 @@
         return decode_answer(results.pop())
 
     def restart(self):
-        """Replace all machines by restored ones."""
+        """Replace all machines by ones restored from a snapshot."""
         data = self.machines[0].snapshot()
         for number in range(len(self.machines)):
             self.machines[number] = ConfigurationMachine()
@@ -54,13 +59,13 @@
     return log
 
 
-def more(text, number):
+def add_workspace(text, number):
     return text + f"[workspaces.more-{number}]\n"
 
 
-def test_first_of_racing_changes_wins_and_the_others_see_it(log):
-    first = change("kitahara", more(KITAHARA, 1), 3, change_id="first")
-    second = change("kitahara", more(KITAHARA, 2), 3, change_id="second")
+def test_first_of_concurrent_changes_wins_and_is_reported_to_the_others(log):
+    first = change("kitahara", add_workspace(KITAHARA, 1), 3, change_id="first")
+    second = change("kitahara", add_workspace(KITAHARA, 2), 3, change_id="second")
     assert log.send(first).revision == 4
     lost = log.send(second)
     assert (lost.status, lost.revision) == (ChangeStatus.CONFLICT, 4)
@@ -72,21 +77,23 @@
     )
     assert "more-1" in log.configuration.workspaces
     assert "more-2" not in log.configuration.workspaces
-    # Another document's change from the same number is no race.
-    assert log.send(change("bantayog", more(BANTAYOG, 3), 3)).is_accepted
-    # The same content from the same number is the same change.
-    again = log.send(change("kitahara", more(KITAHARA, 1), 3, change_id="third"))
+    # A change of another document from the same revision doesn't conflict.
+    assert log.send(change("bantayog", add_workspace(BANTAYOG, 3), 3)).is_accepted
+    # The same content from the same revision counts as the same change.
+    again = log.send(
+        change("kitahara", add_workspace(KITAHARA, 1), 3, change_id="third")
+    )
     assert (again.status, again.revision, again.winner) == ("accepted", 4, winner)
-    # A revision to come can't have been read.
-    ahead = log.send(change("kitahara", more(KITAHARA, 5), 99))
+    # The operator can't have read a future revision.
+    ahead = log.send(change("kitahara", add_workspace(KITAHARA, 5), 99))
     assert ahead.status == ChangeStatus.CONFLICT
 
 
 @pytest.mark.parametrize("is_restarted", [False, True])
 def test_resend_gets_its_first_answer(log, is_restarted):
     changes = [
-        change("kitahara", more(KITAHARA, 1), 3, change_id="accepted"),
-        change("kitahara", more(KITAHARA, 2), 3, change_id="conflict"),
+        change("kitahara", add_workspace(KITAHARA, 1), 3, change_id="accepted"),
+        change("kitahara", add_workspace(KITAHARA, 2), 3, change_id="conflict"),
         change("kitahara", "site = 3", 4, change_id="invalid"),
         change("base", BASE_TEXT, 4, change_id="forbidden", operator="manila"),
     ]
@@ -94,29 +101,29 @@
     assert [answer.status for answer in answers] == [each.change_id for each in changes]
     if is_restarted:
         log.restart()
-    log.send(change("kitahara", more(KITAHARA, 3), 4, change_id="later"))
+    log.send(change("kitahara", add_workspace(KITAHARA, 3), 4, change_id="later"))
     assert [log.send(each) for each in changes] == answers
-    # As a splice in place of the whole text, too.
+    # A resend as a splice instead of the whole text gets the same answer.
     assert log.send(changes[0], last_text=KITAHARA) == answers[0]
     assert log.configuration.revision == 5
-    reused = change("kitahara", more(KITAHARA, 9), 5, change_id="accepted")
+    reused = change("kitahara", add_workspace(KITAHARA, 9), 5, change_id="accepted")
     assert log.send(reused).status == ChangeStatus.ID_REUSED
 
 
-def test_answers_are_kept_by_count_and_revisions_and_never_run_again(log, monkeypatch):
+def test_answers_are_bounded_and_changes_never_applied_twice(log, monkeypatch):
     monkeypatch.setattr(machine_module, "_MAX_ANSWERS_PER_SITE", 3)
     monkeypatch.setattr(machine_module, "_MAX_ANSWER_AGE_REVISIONS", 8)
-    old = change("kitahara", more(KITAHARA, 0), 3, change_id="old")
-    other = change("bantayog", more(BANTAYOG, 99), 3, change_id="other")
+    old = change("kitahara", add_workspace(KITAHARA, 0), 3, change_id="old")
+    other = change("bantayog", add_workspace(BANTAYOG, 99), 3, change_id="other")
     answers = [log.send(old), log.send(other)]
     for number in range(3):
-        log.send(change("kitahara", more(KITAHARA, number), 5 + number))
-    # One site's changes don't push out another's answers; its own go.
+        log.send(change("kitahara", add_workspace(KITAHARA, number), 5 + number))
+    # One site's changes evict only answers of the same site.
     assert log.send(other) == answers[1]
     assert log.send(old).status == ChangeStatus.CONFLICT
     for number in range(8):
-        log.send(change("kitahara", more(KITAHARA, number), 8 + number))
-    # Forgotten by now, but still the change that stands.
+        log.send(change("kitahara", add_workspace(KITAHARA, number), 8 + number))
+    # The answer was dropped, but the change is still the last one of its document.
     answer = log.send(other)
     assert (answer.status, answer.revision) == ("accepted", answers[1].revision)
     assert (answer.winner.change_id, log.configuration.revision) == ("other", 16)
@@ -125,7 +132,7 @@
     assert log.send(old).status == ChangeStatus.CONFLICT
 
 
-def test_partners_key_changes_its_own_overlay_only(log):
+def test_partner_can_change_only_its_own_overlay(log):
     before = log.machines[0].snapshot
     for document in ("base", "kitahara"):
         text = BASE_TEXT if document == "base" else KITAHARA
@@ -145,14 +152,14 @@
     assert before() == log.machines[1].snapshot()
 
 
-def test_operator_removed_while_its_change_was_under_way(log):
+def test_operator_removed_during_its_change(log):
     removed = BASE_TEXT.replace("[operators.manila]", "[operators.quezon]")
     assert log.send(change("base", removed, 3)).is_accepted
-    late = change("bantayog", more(BANTAYOG, 1), 3)
+    late = change("bantayog", add_workspace(BANTAYOG, 1), 3)
     assert log.send(late).status == ChangeStatus.FORBIDDEN
 
 
-def test_operator_of_the_base_can_not_lock_itself_out(log):
+def test_base_operator_cannot_revoke_its_own_access(log):
     text = BASE_TEXT.replace("may_change_base = true", "")
     answer = log.send(change("base", text, 3))
     assert [str(each) for each in answer.findings] == [
@@ -160,7 +167,7 @@
     ]
 
 
-def test_first_change_is_a_base_by_an_operator_in_it():
+def test_first_change_must_be_a_base_by_one_of_its_operators():
     log = Log()
     refused = [
         log.send(change("kitahara", KITAHARA, 0)),
@@ -171,7 +178,7 @@
     assert log.send(change("base", BASE_TEXT, 0, change_id="right")).is_accepted
 
 
-def test_overlay_is_removed_and_comes_back(log):
+def test_overlay_is_removed_and_restored(log):
     assert log.send(change("kitahara", "", 3)).is_accepted
     assert "desks" not in log.configuration.workspaces
     log.restart()
@@ -183,7 +190,7 @@
 def test_damaged_commands_and_snapshots(log):
     answer = decode_answer(log.machines[0].apply(9, b"\xff\xff"))
     assert answer.status == ChangeStatus.INVALID
-    wrong = encode_change(change("kitahara", more(KITAHARA, 1), 3), BASE_TEXT)
+    wrong = encode_change(change("kitahara", add_workspace(KITAHARA, 1), 3), BASE_TEXT)
     answer = decode_answer(log.machines[0].apply(9, wrong))
     assert "is not what was sent" in str(answer.findings[0])
     with pytest.raises(Failure) as caught:
@@ -203,7 +210,7 @@
         ({"text": "é" * 200_000}, Code.BODY_TOO_LARGE),
     ],
 )
-def test_changes_that_no_log_carries(fields, code):
+def test_invalid_changes_are_not_encoded(fields, code):
     value = dataclasses.replace(change("kitahara", KITAHARA, 3), **fields)
     with pytest.raises(Failure) as caught:
         encode_change(value)
@@ -237,7 +244,7 @@
     for step, (document, from_revision, number, change_id) in enumerate(commands):
         if step in restarts:
             log.restart()
-        text = more(KITAHARA if document == "kitahara" else BANTAYOG, number)
+        text = add_workspace(KITAHARA if document == "kitahara" else BANTAYOG, number)
         value = change(document, text, from_revision, change_id=str(change_id))
         before = log.configuration.revision
         answer = log.send(value)
--- a/tests/configuration/test_distribution.py
+++ b/tests/configuration/test_distribution.py
@@ -1,4 +1,9 @@
-"""How hosts learn of revisions, and that none goes back."""
+"""Distribution of revisions to all hosts.
+
+Guards against hosts that miss a revision, return to an earlier one, or report an
+outdated one as confirmed. Lost, late and duplicated messages, dead hosts in the
+push tree, pauses, restarts and damaged disks bring these about.
+"""
 
 import math
 import random
@@ -21,11 +26,11 @@
 from tests.configuration.cluster import open_cluster
 from tests.configuration.texts import BANTAYOG, KITAHARA, change
 
-# Seconds in which a revision is in force on every host that can be reached.
-IN_FORCE_SECONDS = 2.0
+# Seconds within which a revision must be active on every reachable host.
+ACTIVATION_SECONDS = 2.0
 
 
-def more(text, number):
+def add_workspace(text, number):
     return text + f"[workspaces.more-{number}]\n"
 
 
@@ -34,7 +39,7 @@
     monkeypatch.setattr(peer_selector_module, "_POLL_PERIOD_SECONDS", 1000.0)
 
 
-async def test_in_force_everywhere_with_losses_and_an_isolated_host(autojump_clock):
+async def test_active_on_all_hosts_despite_losses_and_an_isolated_host(autojump_clock):
     async with open_cluster() as cluster:
         cluster.network.loss = 0.1
         cluster.network.duplication = 0.1
@@ -43,17 +48,19 @@
         for number in range(20):
             host = f"e{number % 5}"
             await cluster.stores[host].wait_for(3 + number)
-            revision = await cluster.apply("kitahara", more(KITAHARA, number), host)
-            await trio.sleep(IN_FORCE_SECONDS)
-            assert cluster.lagging(revision) == ["e5"]
+            revision = await cluster.apply(
+                "kitahara", add_workspace(KITAHARA, number), host
+            )
+            await trio.sleep(ACTIVATION_SECONDS)
+            assert cluster.lagging_hosts(revision) == ["e5"]
         isolated = cluster.stores["e5"]
         assert (isolated.revision, isolated.is_ready) == (3, True)
         assert isolated.is_isolated
-        assert isolated.staleness > 20 * IN_FORCE_SECONDS
+        assert isolated.staleness > 20 * ACTIVATION_SECONDS
         assert "more-19" in cluster.stores["e1"].current.workspaces
         cluster.network.heal()
-        await trio.sleep(IN_FORCE_SECONDS)
-        assert cluster.lagging(revision) == []
+        await trio.sleep(ACTIVATION_SECONDS)
+        assert cluster.lagging_hosts(revision) == []
         await trio.sleep(5.0)
         assert not isolated.is_isolated
         assert all(store.staleness < 5.0 for store in cluster.stores.values())
@@ -61,51 +68,52 @@
 
 async def test_push_alone_reaches_all_hosts_past_dead_ones(autojump_clock, no_polls):
     async with open_cluster(entries=30) as cluster:
-        # Two of the tree's inner hosts and two others.
+        # Two inner nodes of the tree and two leaves.
         order = cluster.stores["c0"]._tree._order(4)
         dead = sorted([order[0], order[6], order[9], order[20]])
         for name in dead:
             cluster.stop(name)
         await trio.sleep(1.0)
-        revision = await cluster.apply("bantayog", more(BANTAYOG, 1))
-        await trio.sleep(IN_FORCE_SECONDS)
-        assert sorted(cluster.lagging(revision)) == dead
+        revision = await cluster.apply("bantayog", add_workspace(BANTAYOG, 1))
+        await trio.sleep(ACTIVATION_SECONDS)
+        assert sorted(cluster.lagging_hosts(revision)) == dead
 
 
 async def test_polls_alone_reach_all_hosts_after_the_leader_died(autojump_clock):
     async with open_cluster() as cluster:
-        # No leader pushes: it died right after the commit.
+        # The leader has died right after the commit, so no host pushes.
         cluster.log.leader = ""
-        revision = await cluster.apply("bantayog", more(BANTAYOG, 1))
+        revision = await cluster.apply("bantayog", add_workspace(BANTAYOG, 1))
         cluster.stop("c0")
-        await trio.sleep(IN_FORCE_SECONDS)
-        assert cluster.lagging(revision) == []
+        await trio.sleep(ACTIVATION_SECONDS)
+        assert cluster.lagging_hosts(revision) == []
 
 
-async def test_one_change_of_a_long_document_costs_little(autojump_clock):
+async def test_small_change_of_a_long_document_sends_few_bytes(autojump_clock):
     async with open_cluster() as cluster:
         text = KITAHARA + "".join(f"[workspaces.w{n}]\n" for n in range(2000))
         revision = await cluster.apply("kitahara", text)
-        await trio.sleep(IN_FORCE_SECONDS)
+        await trio.sleep(ACTIVATION_SECONDS)
         sent = cluster.network.bytes_sent["ConfigurationPush"]
         count = cluster.network.sent["ConfigurationPush"]
-        await cluster.apply("kitahara", more(text, 1))
+        await cluster.apply("kitahara", add_workspace(text, 1))
         assert len(cluster.log.entries[-1][1]) < 300
-        await trio.sleep(IN_FORCE_SECONDS)
-        assert cluster.lagging(revision + 1) == []
+        await trio.sleep(ACTIVATION_SECONDS)
+        assert cluster.lagging_hosts(revision + 1) == []
         count = cluster.network.sent["ConfigurationPush"] - count
         sent = cluster.network.bytes_sent["ConfigurationPush"] - sent
         assert sent / count < 300
 
 
-async def test_diskless_host_is_not_ready_before_it_read_the_quorums_revision(
+async def test_diskless_host_is_ready_only_with_a_revision_confirmed_by_a_quorum(
     autojump_clock,
 ):
     async with open_cluster(entries=6) as cluster:
-        # e0 stays behind; e1 has served more, and comes back beside e0 only.
+        # e0 misses a revision that e1 has served; e1 then restarts and reaches only
+        # e0.
         cluster.network.isolate("e0")
-        revision = await cluster.apply("bantayog", more(BANTAYOG, 1))
-        await trio.sleep(IN_FORCE_SECONDS)
+        revision = await cluster.apply("bantayog", add_workspace(BANTAYOG, 1))
+        await trio.sleep(ACTIVATION_SECONDS)
         cluster.stop("e1")
         cluster.network.heal()
         for name in cluster.names[:3] + cluster.names[5:]:
@@ -116,7 +124,7 @@
         await trio.sleep(20.0)
         assert not cluster.stores["e1"].is_ready
         assert cluster.stores["e1"].staleness > 20.0
-        # Control hosts without a quorum can't say what it agreed on.
+        # Control hosts without a quorum can't confirm the committed revision.
         cluster.stop("e1")
         cluster.log.has_quorum = False
         await trio.sleep(1.0)
@@ -130,10 +138,10 @@
         assert current.revision == revision
 
 
-async def test_host_with_disk_keeps_what_it_served(autojump_clock):
+async def test_host_with_disk_keeps_the_served_revision(autojump_clock):
     async with open_cluster(entries=1) as cluster:
         cluster.stop("c1")
-        # Cut off, with a log that has lost its end.
+        # Restarted without a quorum and with an empty log.
         log, cluster.log = cluster.log, FakeLog()
         cluster.log.has_quorum = False
         await cluster.start("c1")
@@ -142,7 +150,7 @@
         assert "desks" in store.current.workspaces
         await trio.sleep(20.0)
         assert (store.revision, store.is_isolated) == (3, True)
-        # A lost or damaged disk is no ground to serve something.
+        # With a lost or damaged disk, the host must not become ready.
         for harm in ("lose", "damage"):
             cluster.stop("c1")
             cluster.log = FakeLog()
@@ -159,39 +167,39 @@
             cluster.log = log
             await cluster.start("c1")
             await trio.sleep(2.0)
-            assert cluster.lagging(3) == []
+            assert cluster.lagging_hosts(3) == []
 
 
-async def test_file_that_was_cut_short_is_not_taken():
+async def test_truncated_file_is_rejected():
     disk = FakeDisk()
     await save_stored(disk, 7, [DocumentText(name="base", text="", revision=7)])
     assert (await load_stored(disk)).revision == 7
-    # Whole as a message, but without its texts.
+    # The rest can be decoded as a message, but without its texts.
     await disk.truncate("configuration", 6)
     assert await load_stored(disk) is None
 
 
-async def test_paused_and_half_cut_hosts(autojump_clock):
+async def test_paused_host_and_host_with_one_way_partition(autojump_clock):
     async with open_cluster(entries=6) as cluster:
         frozen, deaf = cluster.stores["e0"], cluster.stores["e1"]
         cluster.timers["e0"].pause()
-        # What e1 sends is lost, what is sent to it arrives.
+        # Messages from e1 are lost, messages to e1 arrive.
         for name in cluster.names:
             cluster.network.cut("e1", name)
         await trio.sleep(60.0)
-        revision = await cluster.apply("bantayog", more(BANTAYOG, 1))
-        await trio.sleep(IN_FORCE_SECONDS)
-        assert cluster.lagging(revision) == ["e0"]
+        revision = await cluster.apply("bantayog", add_workspace(BANTAYOG, 1))
+        await trio.sleep(ACTIVATION_SECONDS)
+        assert cluster.lagging_hosts(revision) == ["e0"]
         assert deaf.is_isolated and deaf.staleness > 55.0
         cluster.timers["e0"].resume()
         await trio.sleep(0.0)
         assert frozen.staleness > 55.0
-        await trio.sleep(IN_FORCE_SECONDS)
-        assert cluster.lagging(revision) == []
+        await trio.sleep(ACTIVATION_SECONDS)
+        assert cluster.lagging_hosts(revision) == []
         assert frozen.staleness < 5.0
 
 
-async def test_answer_from_before_a_pause_confirms_that_time_only(autojump_clock):
+async def test_answer_from_before_a_pause_does_not_reset_staleness(autojump_clock):
     async with open_cluster(entries=1) as cluster:
         cluster.network.min_delay = cluster.network.max_delay = 0.1
         sent = cluster.network.sent["ConfigurationPoll"]
@@ -204,7 +212,7 @@
         assert cluster.stores["e0"].staleness > 59.0
 
 
-async def test_no_revision_is_served_before_it_is_on_the_disk(autojump_clock):
+async def test_revision_is_saved_before_it_becomes_active(autojump_clock):
     async with open_cluster(entries=1) as cluster:
         disk = cluster.disks["c2"]
 
@@ -212,22 +220,22 @@
             raise OSError("Disk fails.")
 
         disk.before = fail
-        revision = await cluster.apply("bantayog", more(BANTAYOG, 1))
+        revision = await cluster.apply("bantayog", add_workspace(BANTAYOG, 1))
         await trio.sleep(3.0)
-        assert cluster.lagging(revision) == ["c2"]
-        # It knows of the newer one, so nobody confirms what it serves.
+        assert cluster.lagging_hosts(revision) == ["c2"]
+        # The host knows the newer revision, so its active one isn't confirmed.
         assert cluster.stores["c2"].staleness > 2.0
         disk.before = lambda operation, name: None
         await trio.sleep(2.0)
-        assert cluster.lagging(revision) == []
+        assert cluster.lagging_hosts(revision) == []
 
 
-async def test_late_and_doubled_pushes_neither_revert_nor_refresh(autojump_clock):
+async def test_late_and_duplicated_pushes_neither_revert_nor_confirm(autojump_clock):
     async with open_cluster(entries=4) as cluster:
         store = cluster.stores["e0"]
         old = store._received.update_since(0, needs_texts=True)
-        await cluster.apply("bantayog", more(BANTAYOG, 1))
-        await trio.sleep(IN_FORCE_SECONDS)
+        await cluster.apply("bantayog", add_workspace(BANTAYOG, 1))
+        await trio.sleep(ACTIVATION_SECONDS)
         cluster.network.isolate("e0")
         await trio.sleep(5.0)
         before = store.staleness
@@ -238,25 +246,25 @@
         assert store.staleness >= before + 1.0
 
 
-async def test_step_that_leads_elsewhere_is_mended_by_whole_texts(autojump_clock):
+async def test_diverged_text_is_repaired_by_complete_texts(autojump_clock):
     async with open_cluster(entries=4) as cluster:
         store = cluster.stores["e0"]
         texts = store._received.changed_texts()
         assert texts[0].name == "bantayog"
         texts[0].text += "# Not what the others hold.\n"
         store._received.restore(3, texts)
-        revision = await cluster.apply("bantayog", more(BANTAYOG, 1))
-        await trio.sleep(IN_FORCE_SECONDS)
-        assert cluster.lagging(revision) == []
+        revision = await cluster.apply("bantayog", add_workspace(BANTAYOG, 1))
+        await trio.sleep(ACTIVATION_SECONDS)
+        assert cluster.lagging_hosts(revision) == []
         for name in ("base", "bantayog"):
             assert store.texts[name] == cluster.stores["c0"].texts[name]
 
 
-async def test_resend_after_a_lost_reply_and_doubled_commits(autojump_clock):
+async def test_resend_after_a_lost_reply_and_duplicated_commits(autojump_clock):
     async with open_cluster(entries=2) as cluster:
         cluster.log.lost_replies = 1
         cluster.log.copies = 2
-        value = change("kitahara", more(KITAHARA, 1), 3)
+        value = change("kitahara", add_workspace(KITAHARA, 1), 3)
         with pytest.raises(Failure) as caught:
             await cluster.stores["e0"].apply_change(value, 1.0)
         assert caught.value.code == Code.NO_QUORUM
@@ -268,23 +276,23 @@
     async with open_cluster(entries=2) as cluster:
         cluster.log.has_quorum = False
         with pytest.raises(Failure):
-            await cluster.apply("kitahara", more(KITAHARA, 1))
+            await cluster.apply("kitahara", add_workspace(KITAHARA, 1))
         await trio.sleep(5.0)
         assert {store.revision for store in cluster.stores.values()} == {3}
 
 
-async def test_callbacks_get_each_configuration_once_and_in_order(autojump_clock):
+async def test_callbacks_run_once_per_revision_in_order(autojump_clock):
     async with open_cluster(entries=2) as cluster:
         seen = []
         cluster.stores["e1"].subscribe(lambda each: seen.append(each.revision))
         for number in range(5):
-            await cluster.apply("kitahara", more(KITAHARA, number))
-            await trio.sleep(IN_FORCE_SECONDS)
+            await cluster.apply("kitahara", add_workspace(KITAHARA, number))
+            await trio.sleep(ACTIVATION_SECONDS)
         assert seen == [4, 5, 6, 7, 8]
 
 
 class Sender:
-    """A history of texts, and updates as hosts at any point of it send them."""
+    """A history of texts that yields the updates of hosts at any revision."""
 
     def __init__(self, length):
         self.versions = [DocumentVersions()]
--- a/tests/configuration/test_documents.py
+++ b/tests/configuration/test_documents.py
@@ -1,4 +1,8 @@
-"""Reading, merging and checking documents; origins and keys."""
+"""Parsing, merging and validation of documents; origins of values; keys.
+
+Guards against documents that are accepted although invalid in combination, and
+against partners that change or refer to another partner's entries.
+"""
 
 import pytest
 from hypothesis import given, settings, strategies as st
@@ -30,7 +34,7 @@
     return [str(finding) for finding in caught.value.findings]
 
 
-def test_overlay_sets_values_in_place_of_the_bases():
+def test_overlay_overrides_values_of_the_base():
     configuration = merge(*documents(), revision=7)
     assert configuration.revision == 7
     zaseki = configuration.deployments["zaseki"]
@@ -60,7 +64,7 @@
         assert (origin and (origin.value, origin.document)) == value, path
 
 
-def test_all_findings_of_all_files_come_together():
+def test_findings_of_all_files_are_collected():
     found = findings(
         base=BASE_TEXT.replace("weight = 2.0", "weight = -1")
         + "min_replicas = 'two'\n[limits]\nmax_que = 3\nclaim_seconds = 500\n",
@@ -82,8 +86,8 @@
     ]
 
 
-# Overlays or bases that are typed well but wrong as a whole.
-WRONG_WHOLES = {
+# Documents that are valid alone but not in combination with the others.
+INVALID_COMBINATIONS = {
     "unknown workspace": (
         "bantayog",
         BANTAYOG.replace('"shared"', '"lost"'),
@@ -173,14 +177,14 @@
 }
 
 
-@pytest.mark.parametrize("name", WRONG_WHOLES)
-def test_wrong_whole(name):
-    document, text, expected = WRONG_WHOLES[name]
+@pytest.mark.parametrize("name", INVALID_COMBINATIONS)
+def test_invalid_combination(name):
+    document, text, expected = INVALID_COMBINATIONS[name]
     file = {"base": "base.toml", "kitahara": "k.toml", "bantayog": "b.toml"}[document]
     assert f"{file}: {expected}" in findings(**{document: text})
 
 
-def test_overlay_for_no_site_and_second_overlay():
+def test_overlay_without_site_and_duplicate_overlay():
     base, overlays = documents()
     stray = parse("site = 'else'", "else")
     with pytest.raises(InvalidDocument) as caught:
@@ -203,7 +207,7 @@
         (b"a = ", "end of document", "is no TOML"),
     ],
 )
-def test_text_that_is_no_toml(data, path, text):
+def test_text_that_is_not_toml(data, path, text):
     with pytest.raises(InvalidDocument) as caught:
         parse(data, "base", "base.toml")
     (finding,) = caught.value.findings
@@ -258,6 +262,6 @@
         ("root", "", "", False),
     ],
 )
-def test_operators_rights(operator, site, document, is_allowed):
+def test_operator_permissions(operator, site, document, is_allowed):
     configuration = merge(*documents())
     assert may_change(configuration, operator, site, document) is is_allowed
--- a/tests/configuration/test_toml_parts.py
+++ b/tests/configuration/test_toml_parts.py
@@ -1,4 +1,8 @@
-"""Reading part by part gives what reading the whole gives."""
+"""Parsing TOML in parts gives the same result as parsing the whole text.
+
+Guards against texts whose parts depend on each other, and against cached parts
+that a later parse modifies.
+"""
 
 import tomllib
 
@@ -66,16 +70,16 @@
         "[[a]]\n[[a]]\nx = 1",
     ],
 )
-def test_parts_that_hang_together(text):
+def test_inseparable_parts(text):
     assert read(load_toml, text) == read(tomllib.loads, text)
 
 
-def test_parts_that_are_kept_do_not_change():
+def test_cached_parts_do_not_change():
     assert load_toml("[a]\n[a.b]\nx = 1") == {"a": {"b": {"x": 1}}}
     assert load_toml("[a]\n[c]") == {"a": {}, "c": {}}
 
 
-def test_only_what_changed_is_read_again():
+def test_only_changed_parts_are_parsed_again():
     text = "".join(f"[w.n{number}]\nx = 1\n" for number in range(500))
     load_toml(text)
     before = _read_part.cache_info().misses
--- a/tests/configuration/texts.py
+++ b/tests/configuration/texts.py
@@ -1,4 +1,4 @@
-"""Documents and changes that the tests of the configuration share."""
+"""Documents and changes shared by the configuration tests."""
 
 from pepperstep.configuration import Change, hash_key
 
@@ -49,7 +49,7 @@
 
 
 def change(document: str, text: str, from_revision: int, **fields: str) -> Change:
-    """Return a change by the document's own operator."""
+    """Return a change by the operator of the document."""
     operator, site = {
         "base": ("root", ""),
         "kitahara": ("sapporo", "kitahara"),
--- a/tests/membership/conftest.py
+++ b/tests/membership/conftest.py
@@ -33,7 +33,7 @@
 
 
 class Cluster:
-    """Hosts h0, h1, ... in the zones by turns."""
+    """Hosts h0, h1, ..., assigned to the zones in rotation."""
 
     def __init__(self, nursery, settings):
         self.nursery = nursery
@@ -57,7 +57,7 @@
         self.network.detach(name)
 
     def views(self, name):
-        """Return the states that the other running hosts see `name` in."""
+        """Return the states of host `name` according to the other running hosts."""
         return {
             node.membership.state_of(name)
             for other, node in self.nodes.items()
@@ -68,7 +68,7 @@
         return all(self.views(name) == {MemberState.ALIVE} for name in self.nodes)
 
     async def wait_until(self, condition, limit):
-        """Return the seconds until `condition` holds."""
+        """Wait until `condition()` is true, and return the seconds that it took."""
         start = trio.current_time()
         while not condition():
             assert trio.current_time() - start < limit, "too late"
--- a/tests/membership/test_cost.py
+++ b/tests/membership/test_cost.py
@@ -1,4 +1,8 @@
-"""Bytes and processor time a host, idle; `pytest -s` prints them."""
+"""Network and processor cost of an idle host.
+
+Guards against gossip and replication whose bytes per host grow with the number of
+hosts. `pytest -s` prints the measured bytes and processor seconds.
+"""
 
 import random
 import time
@@ -21,7 +25,7 @@
     processor: float
 
 
-async def beat(registry, name):
+async def send_heartbeats(registry, name):
     fields = ("c-" + name, "makati-a", "ncr", "", MODELS)
     upstream = Upstream(name, 1, "10.0.0.1:80", UpstreamKind.ENGINE, *fields)
     for sequence in range(1, 1000):
@@ -31,7 +35,7 @@
 
 
 async def measure(cluster, hosts, upstreams):
-    """Return the cost a host and second, without HTTP/2's own bytes."""
+    """Return the cost per host and second, without the overhead of HTTP/2."""
     await cluster.start(hosts, seconds=0)
     registries = []
     for node in cluster.nodes.values():
@@ -47,17 +51,19 @@
         cluster.nursery.start_soon(registry.run)
     for index in range(upstreams):
         registry = registries[index % hosts]
-        cluster.nursery.start_soon(beat, registry, f"pool-{index}")
+        cluster.nursery.start_soon(send_heartbeats, registry, f"pool-{index}")
         await trio.sleep(0.07)
     await trio.sleep(10)
     sent = cluster.network.bytes_sent.copy()
     started = time.process_time()
     await trio.sleep(SECONDS)
     sent = cluster.network.bytes_sent - sent
-    spread = sum(count for kind, count in sent.items() if kind.startswith("Upstream"))
+    replication = sum(
+        count for kind, count in sent.items() if kind.startswith("Upstream")
+    )
     share = SECONDS * hosts
     processor = (time.process_time() - started) / share
-    return Cost((sent.total() - spread) / share, spread / share, processor)
+    return Cost((sent.total() - replication) / share, replication / share, processor)
 
 
 @pytest.mark.parametrize(
--- a/tests/membership/test_hosts.py
+++ b/tests/membership/test_hosts.py
@@ -1,4 +1,9 @@
-"""Membership of hosts under losses, cuts, pauses and the loss of a zone."""
+"""Membership of hosts under message loss, partitions, pauses and loss of a zone.
+
+Guards against live hosts that are declared dead and dead hosts that stay members.
+Both happen if a paused or isolated host trusts its own failed probes, or if
+refutations and updates don't reach all hosts in time.
+"""
 
 import collections
 import dataclasses
@@ -17,7 +22,7 @@
 
 
 def deaths(cluster):
-    """Return how often any running host has taken any member for dead."""
+    """Return the members declared dead, one name per running host that did so."""
     return [
         change.after.name
         for node in cluster.nodes.values()
@@ -44,7 +49,7 @@
     assert set(deaths(cluster)) == {"h1"}
 
 
-async def test_restarted_host_is_a_new_life(autojump_clock, cluster):
+async def test_restarted_host_has_a_new_incarnation(autojump_clock, cluster):
     await cluster.start(7)
     membership = cluster.nodes["h3"].membership
     assert not membership.is_gone("h1", 1)
@@ -55,7 +60,7 @@
     assert cluster.views("h1") == {ALIVE}
 
 
-async def test_host_with_clock_behind_returns(autojump_clock, cluster):
+async def test_host_restarted_with_a_clock_behind_rejoins(autojump_clock, cluster):
     await cluster.start(7)
     cluster.crash("h1")
     await cluster.wait_until(lambda: cluster.views("h1") == {DEAD}, 4.0)
@@ -64,7 +69,7 @@
 
 
 @pytest.mark.parametrize(("seconds", "is_declared"), [(0.7, False), (30, True)])
-async def test_paused_host_refutes_and_judges_nobody(
+async def test_paused_host_refutes_and_declares_nobody_dead(
     autojump_clock, cluster, seconds, is_declared
 ):
     await cluster.start(7)
@@ -77,7 +82,7 @@
 
 
 @pytest.mark.parametrize("way", [("h0", "h1"), ("h1", "h0")])
-async def test_one_way_cut_kills_nobody(autojump_clock, cluster, way):
+async def test_one_way_partition_causes_no_suspicion(autojump_clock, cluster, way):
     await cluster.start(7)
     cluster.network.cut(*way)
     await trio.sleep(60)
@@ -89,7 +94,7 @@
 
 
 @pytest.mark.parametrize("is_one_way", [False, True])
-async def test_isolated_host_kills_nobody(autojump_clock, cluster, is_one_way):
+async def test_isolated_host_declares_nobody_dead(autojump_clock, cluster, is_one_way):
     await cluster.start(7)
     for name in cluster.nodes:
         if name != "h1":
@@ -108,14 +113,16 @@
 
 
 @pytest.mark.parametrize("is_paused", [False, True])
-async def test_no_verdict_while_cut_off_or_paused(autojump_clock, cluster, is_paused):
+async def test_no_death_is_declared_while_isolated_or_paused(
+    autojump_clock, cluster, is_paused
+):
     cluster.settings = dataclasses.replace(cluster.settings, suspicion_timeout=2)
     await cluster.start(7)
     first, second = cluster.nodes["h1"], cluster.nodes["h2"]
     second.timers.pause()
     await cluster.wait_until(lambda: first.membership.state_of("h2") is SUSPECT, 4.0)
     if is_paused:
-        # Late enough that others have answered in the time to refute.
+        # By then other hosts have answered during the suspicion timeout.
         await trio.sleep(1.5)
         first.timers.pause()
     cluster.network.isolate("h1")
@@ -131,7 +138,7 @@
     ]
 
 
-async def test_one_of_two_waits_longer(autojump_clock, cluster):
+async def test_suspicion_lasts_longer_with_two_hosts(autojump_clock, cluster):
     await cluster.start(2)
     cluster.crash("h1")
     await trio.sleep(5)
@@ -139,7 +146,7 @@
     await cluster.wait_until(lambda: cluster.views("h1") == {DEAD}, 15.0)
 
 
-async def test_lost_zone_does_not_flood(autojump_clock, cluster):
+async def test_zone_loss_causes_no_update_storm(autojump_clock, cluster):
     await cluster.start(36, seconds=10)
     lost = [name for name in cluster.nodes if int(name[1:]) % 3 == 1]
     for name in lost:
@@ -151,26 +158,27 @@
         peak = max(peak, cluster.network.bytes_sent.total() - sent)
     assert all(cluster.views(name) == {DEAD} for name in lost)
     assert set(deaths(cluster)) == set(lost)
-    # Bytes a second and host, probes and answers included.
-
+    # Bytes per second and host, including probes and answers.
     assert peak / 0.25 / 24 < 5000
 
 
-async def test_parted_zones_meet_again(autojump_clock, cluster):
+async def test_partitioned_zones_merge_after_healing(autojump_clock, cluster):
     await cluster.start(6)
     pairs = [(a, b) for a in "036" for b in "1245"]
     for a, b in pairs:
         cluster.network.cut(f"h{a}", f"h{b}")
         cluster.network.cut(f"h{b}", f"h{a}")
     await trio.sleep(30)
-    # Each side takes the other's hosts for dead.
+    # Each side has declared the other side's hosts dead.
     assert len(cluster.nodes["h0"].membership.hosts()) == 2
     assert len(cluster.nodes["h4"].membership.hosts()) == 4
     cluster.network.heal()
     await cluster.wait_until(cluster.all_alive, 10.0)
 
 
-async def test_regions_learn_of_each_other_and_outlast_a_cut(autojump_clock, cluster):
+async def test_regions_discover_each_other_and_survive_a_partition(
+    autojump_clock, cluster
+):
     await cluster.start(6)
     await cluster.start(6, region="dosanko", seconds=10)
     assert cluster.all_alive()
@@ -185,14 +193,14 @@
     await cluster.wait_until(lambda: cluster.views("h7") == {DEAD}, 10.0)
 
 
-async def test_messages_stay_within_their_bound(autojump_clock, cluster):
+async def test_messages_stay_within_the_size_limit(autojump_clock, cluster):
     largest = collections.Counter()
 
-    def note(sender, receiver, message):
+    def record_size(sender, receiver, message):
         kind = type(message).__name__
         largest[kind] = max(largest[kind], message.ByteSize())
 
-    cluster.network.before = note
+    cluster.network.before = record_size
     cluster.settings = dataclasses.replace(cluster.settings, max_sync_bytes=400)
     await cluster.start(36, seconds=4)
     cluster.add("late")
@@ -206,14 +214,16 @@
     assert max(largest.values()) < cluster.settings.max_update_bytes + 20
 
 
-async def test_no_host_dies_of_lost_messages(autojump_clock, cluster):
+async def test_message_loss_causes_no_deaths(autojump_clock, cluster):
     cluster.network.loss = 0.05
     cluster.network.duplication = 0.05
     await cluster.start(7, seconds=600)
     assert not deaths(cluster)
 
 
-async def test_leaving_host_is_told_apart_until_it_has_left(autojump_clock, cluster):
+async def test_leaving_host_is_visible_but_not_selectable_until_it_departs(
+    autojump_clock, cluster
+):
     cluster.settings = dataclasses.replace(cluster.settings, forget_after=60)
     await cluster.start(7)
     node = cluster.nodes["h1"]
@@ -231,7 +241,7 @@
     assert not deaths(cluster)
 
 
-async def test_updates_stay_within_their_rate(autojump_clock):
+async def test_updates_stay_within_the_rate_limit(autojump_clock):
     settings = MembershipSettings()
     own, *others = (Host(f"h{i}", f"h{i}", "", "z", "r", "s") for i in range(300))
     table = MemberTable(Member(own, 1))
--- a/tests/membership/test_subset.py
+++ b/tests/membership/test_subset.py
@@ -1,4 +1,8 @@
-"""Assignment of upstreams to entry hosts: balance, spread and small change."""
+"""Assignment of upstreams to entry hosts.
+
+Guards against hosts with too many upstreams, against zones without a routing host,
+and against a change of one host that moves many assignments.
+"""
 
 from collections import Counter
 
@@ -19,11 +23,11 @@
 
 
 @pytest.mark.parametrize(("count", "expected"), [(0, 9), (9, 9), (20, 9), (3, 3)])
-def test_all_hosts_or_as_many_as_asked_for(count, expected):
+def test_number_of_routers(count, expected):
     assert len(choose_routers("u", make_hosts(9), count)) == expected
 
 
-def test_hosts_know_a_like_number_and_each_zone_a_share():
+def test_load_is_balanced_across_hosts_and_zones():
     hosts = make_hosts(183)
     zone_of = {host.name: host.zone for host in hosts}
     zones = Counter(zone_of.values())
@@ -38,12 +42,12 @@
 
 
 @pytest.mark.parametrize("is_added", [True, False])
-def test_one_host_more_or_less_changes_little(is_added):
+def test_adding_or_removing_a_host_moves_few_assignments(is_added):
     hosts = make_hosts(183)
     changed = [*hosts, Host("new", "", "u", "z1", "r", "s")] if is_added else hosts[1:]
     before, after = assign(hosts, 7, 1000), assign(changed, 7, 1000)
     moved = sum(len(after[name] - before[name]) for name in before)
-    # A host's own share is 38 of the 7,000 assignments.
+    # One host has 38 of the 7,000 assignments on average.
     assert moved < 4 * 7 * 1000 / 183
 
 
--- a/tests/membership/test_upstreams.py
+++ b/tests/membership/test_upstreams.py
@@ -1,4 +1,9 @@
-"""Upstreams' leases on all entry hosts, under losses, delays and restarts."""
+"""Upstream leases on all entry hosts under message loss, delays and restarts.
+
+Guards against requests to upstreams that have left or whose lease has expired, and
+against live upstreams that disappear. Late, repeated or reordered messages and
+pauses of hosts cause the first, lost pushes the second.
+"""
 
 import random
 from dataclasses import replace
@@ -22,8 +27,8 @@
 LEASE = RegistrySettings().lease
 
 
-class Entries:
-    """Registries of the hosts e0, e1, ..., and upstreams with heartbeats."""
+class RegistryCluster:
+    """Registries of the hosts e0, e1, ..., and heartbeats of upstreams."""
 
     def __init__(self, nursery, count, settings=None):
         self.settings = settings
@@ -56,21 +61,21 @@
             name, epoch, f"{name}:80", UpstreamKind.ENGINE, f"c-{name}", "z0", **fields
         )
 
-    def beat(self, upstream, at=None, **lease):
-        """Announce `upstream` with its next number, at a host chosen at random."""
+    def send_heartbeat(self, upstream, at=None, **lease):
+        """Announce `upstream` with its next number, at `at` or a random host."""
         sequence = self.sequences[upstream.name] = (
             self.sequences.get(upstream.name, 0) + 1
         )
         registry = self.registries[at or self.rng.choice(self.hosts).name]
         return registry.announce(upstream, sequence, **lease)
 
-    async def keep(self, upstream, seconds, at=None):
+    async def send_heartbeats(self, upstream, seconds, at=None):
         for second in range(int(seconds)):
-            self.beat(replace(upstream, load=Load(running=second % 7)), at)
+            self.send_heartbeat(replace(upstream, load=Load(running=second % 7)), at)
             await trio.sleep(1)
 
-    def choosers(self, name="u0"):
-        """Return the hosts that would choose the upstream now."""
+    def hosts_with_candidate(self, name="u0"):
+        """Return the hosts that have the upstream among their candidates."""
         return {
             host
             for host, registry in self.registries.items()
@@ -79,26 +84,28 @@
 
 
 @pytest.fixture
-async def entries(autojump_clock):
+async def registry_cluster(autojump_clock):
     async with trio.open_nursery() as nursery:
-        yield Entries(nursery, 7)
+        yield RegistryCluster(nursery, 7)
         nursery.cancel_scope.cancel()
 
 
-async def test_announced_upstream_is_known_while_it_beats(autojump_clock, entries):
+async def test_announced_upstream_is_known_while_heartbeats_arrive(
+    autojump_clock, registry_cluster
+):
     changes = []
-    entries.registries["e6"].subscribe(changes.append)
-    entries.network.loss = 0.05
-    upstream = entries.upstream()
-    entries.nursery.start_soon(entries.keep, upstream, 30)
+    registry_cluster.registries["e6"].subscribe(changes.append)
+    registry_cluster.network.loss = 0.05
+    upstream = registry_cluster.upstream()
+    registry_cluster.nursery.start_soon(registry_cluster.send_heartbeats, upstream, 30)
     await trio.sleep(1.5)
     for _ in range(280):
-        assert len(entries.choosers()) == 7
+        assert len(registry_cluster.hosts_with_candidate()) == 7
         await trio.sleep(0.1)
-    assert entries.registries["e6"].candidates(service="quote-api") == []
-    assert entries.registries["e6"].get("u0").load.running > 0
+    assert registry_cluster.registries["e6"].candidates(service="quote-api") == []
+    assert registry_cluster.registries["e6"].get("u0").load.running > 0
     await trio.sleep(3.5)
-    assert not entries.choosers()
+    assert not registry_cluster.hosts_with_candidate()
     await trio.sleep(0.5)
     assert [(c.before, c.after and c.after.name) for c in changes][0] == (None, "u0")
     assert [c.after for c in changes][-1] is None
@@ -108,13 +115,13 @@
 @pytest.mark.parametrize("seed", range(6))
 @pytest.mark.parametrize("is_cut", [False, True])
 async def test_leaving_upstream_is_not_chosen_after_its_lease(
-    autojump_clock, entries, seed, is_cut
+    autojump_clock, registry_cluster, seed, is_cut
 ):
-    rng = entries.network.rng = random.Random(seed)
-    entries.network.loss = 0.2
-    entries.network.max_delay = 2.0
-    upstream = entries.upstream()
-    # Last lease of each host, and when it came.
+    rng = registry_cluster.network.rng = random.Random(seed)
+    registry_cluster.network.loss = 0.2
+    registry_cluster.network.max_delay = 2.0
+    upstream = registry_cluster.upstream()
+    # Last lease from each host and its arrival time.
     leases = {}
 
     async def beat_late(sequence, registry):
@@ -126,150 +133,180 @@
         leases[registry] = lease, trio.current_time()
 
     for sequence in range(1, 40):
-        registry = rng.choice(list(entries.registries.values()))
-        entries.nursery.start_soon(beat_late, sequence, registry)
+        registry = rng.choice(list(registry_cluster.registries.values()))
+        registry_cluster.nursery.start_soon(beat_late, sequence, registry)
         await trio.sleep(0.25)
-    assert entries.choosers()
+    assert registry_cluster.hosts_with_candidate()
     if is_cut:
-        entries.network.isolate("e3")
-    entries.registries["e0"].announce(replace(upstream, is_leaving=True), 40)
+        registry_cluster.network.isolate("e3")
+    registry_cluster.registries["e0"].announce(replace(upstream, is_leaving=True), 40)
     await trio.sleep(LEASE)
     for _ in range(200):
-        assert not entries.choosers()
+        assert not registry_cluster.hosts_with_candidate()
         await trio.sleep(0.05)
 
 
-async def test_late_messages_of_an_earlier_life_are_ignored(autojump_clock, entries):
-    first = entries.upstream(epoch=1)
-    entries.beat(first, at="e0")
+async def test_late_messages_of_an_earlier_epoch_are_ignored(
+    autojump_clock, registry_cluster
+):
+    first = registry_cluster.upstream(epoch=1)
+    registry_cluster.send_heartbeat(first, at="e0")
     await trio.sleep(1)
     second = replace(first, epoch=2, models=frozenset())
-    entries.beat(second, at="e1")
+    registry_cluster.send_heartbeat(second, at="e1")
     await trio.sleep(1)
     with pytest.raises(Failure) as caught:
-        entries.beat(first, at="e2")
+        registry_cluster.send_heartbeat(first, at="e2")
     assert caught.value.code is Code.FENCED
-    for registry in entries.registries.values():
+    for registry in registry_cluster.registries.values():
         registry.mark_leaving("u0", 1)
         assert registry.get("u0") == second
-    entries.registries["e3"].remove("u0", 2)
+    registry_cluster.registries["e3"].remove("u0", 2)
     await trio.sleep(1)
-    assert {registry.get("u0") for registry in entries.registries.values()} == {None}
+    assert {
+        registry.get("u0") for registry in registry_cluster.registries.values()
+    } == {None}
     with pytest.raises(Failure):
-        entries.beat(second, at="e2")
-    entries.beat(replace(first, epoch=3), at="e2")
+        registry_cluster.send_heartbeat(second, at="e2")
+    registry_cluster.send_heartbeat(replace(first, epoch=3), at="e2")
     await trio.sleep(1)
-    assert len(entries.choosers()) == 7
+    assert len(registry_cluster.hosts_with_candidate()) == 7
 
 
-async def test_late_heartbeat_changes_nothing(autojump_clock, entries):
-    old = entries.upstream(load=Load(running=1))
-    entries.registries["e0"].announce(replace(old, models=frozenset()), 9)
+async def test_late_heartbeat_changes_nothing(autojump_clock, registry_cluster):
+    old = registry_cluster.upstream(load=Load(running=1))
+    registry_cluster.registries["e0"].announce(replace(old, models=frozenset()), 9)
     await trio.sleep(2)
-    entries.registries["e0"].announce(old, 8)
+    registry_cluster.registries["e0"].announce(old, 8)
     await trio.sleep(1.1)
-    assert entries.registries["e0"].get("u0").models == frozenset()
-    assert not entries.registries["e0"].is_live("u0")
+    assert registry_cluster.registries["e0"].get("u0").models == frozenset()
+    assert not registry_cluster.registries["e0"].is_live("u0")
 
 
-async def test_reclaimed_host_takes_its_upstreams_along(autojump_clock, entries):
-    entries.nursery.start_soon(entries.keep, entries.upstream(), 9)
+async def test_upstreams_on_a_leaving_host_are_leaving(
+    autojump_clock, registry_cluster
+):
+    registry_cluster.nursery.start_soon(
+        registry_cluster.send_heartbeats, registry_cluster.upstream(), 9
+    )
     await trio.sleep(1)
-    entries.registries["e2"].mark_host_leaving("c-u0")
-    entries.registries["e2"].mark_host_leaving("c-u1")
+    registry_cluster.registries["e2"].mark_host_leaving("c-u0")
+    registry_cluster.registries["e2"].mark_host_leaving("c-u1")
     await trio.sleep(0.5)
-    assert not entries.choosers()
-    assert [u.name for u in entries.registries["e5"].upstreams()] == ["u0"]
-    entries.beat(entries.upstream("u1"), at="e4")
+    assert not registry_cluster.hosts_with_candidate()
+    assert [u.name for u in registry_cluster.registries["e5"].upstreams()] == ["u0"]
+    registry_cluster.send_heartbeat(registry_cluster.upstream("u1"), at="e4")
     await trio.sleep(0.8)
-    assert not entries.choosers("u1")
+    assert not registry_cluster.hosts_with_candidate("u1")
 
 
-async def test_lease_outlives_a_cut_between_two_hosts(autojump_clock, entries):
-    entries.nursery.start_soon(entries.keep, entries.upstream(), 30, "e0")
+async def test_lease_survives_a_partition_between_two_hosts(
+    autojump_clock, registry_cluster
+):
+    registry_cluster.nursery.start_soon(
+        registry_cluster.send_heartbeats, registry_cluster.upstream(), 30, "e0"
+    )
     await trio.sleep(1.5)
-    entries.network.cut("e0", "e1")
-    entries.network.cut("e1", "e0")
+    registry_cluster.network.cut("e0", "e1")
+    registry_cluster.network.cut("e1", "e0")
     for _ in range(250):
-        assert len(entries.choosers()) == 7
+        assert len(registry_cluster.hosts_with_candidate()) == 7
         await trio.sleep(0.1)
 
 
-async def test_change_is_sent_until_it_arrives(autojump_clock, entries):
-    entries.beat(entries.upstream(), at="e0")
+async def test_change_is_retransmitted_until_acknowledged(
+    autojump_clock, registry_cluster
+):
+    registry_cluster.send_heartbeat(registry_cluster.upstream(), at="e0")
     await trio.sleep(1)
-    entries.network.loss = 0.4
-    entries.registries["e0"].mark_leaving("u0", 1)
+    registry_cluster.network.loss = 0.4
+    registry_cluster.registries["e0"].mark_leaving("u0", 1)
     await trio.sleep(1.5)
-    assert not entries.choosers()
+    assert not registry_cluster.hosts_with_candidate()
 
 
-async def test_end_of_an_upstream_outlives_the_host_that_knew(autojump_clock, entries):
-    entries.nursery.start_soon(entries.keep, entries.upstream(), 30, "e1")
+async def test_leaving_state_survives_the_pause_of_its_originator(
+    autojump_clock, registry_cluster
+):
+    registry_cluster.nursery.start_soon(
+        registry_cluster.send_heartbeats, registry_cluster.upstream(), 30, "e1"
+    )
     await trio.sleep(1.5)
-    entries.network.isolate("e1")
-    entries.registries["e0"].mark_leaving("u0", 1)
+    registry_cluster.network.isolate("e1")
+    registry_cluster.registries["e0"].mark_leaving("u0", 1)
     await trio.sleep(2)
-    entries.timers["e0"].pause()
-    entries.network.heal()
+    registry_cluster.timers["e0"].pause()
+    registry_cluster.network.heal()
     await trio.sleep(8)
-    assert not entries.choosers() & {"e1"}
+    assert not registry_cluster.hosts_with_candidate() & {"e1"}
 
 
-async def test_restarted_host_learns_all_again(autojump_clock, entries):
+async def test_restarted_host_recovers_all_upstreams(autojump_clock, registry_cluster):
     for index in range(15):
-        upstream = entries.upstream(f"u{index}")
-        entries.nursery.start_soon(entries.keep, upstream, 30)
+        upstream = registry_cluster.upstream(f"u{index}")
+        registry_cluster.nursery.start_soon(
+            registry_cluster.send_heartbeats, upstream, 30
+        )
     await trio.sleep(3)
-    entries.timers["e2"].pause()
-    entries.start(entries.hosts[2], life=2)
+    registry_cluster.timers["e2"].pause()
+    registry_cluster.start(registry_cluster.hosts[2], life=2)
     await trio.sleep(1.5)
-    assert len(entries.registries["e2"].candidates(MODEL)) == 15
+    assert len(registry_cluster.registries["e2"].candidates(MODEL)) == 15
 
 
-async def test_only_routers_know_an_upstream(autojump_clock, entries):
-    routed = Entries(entries.nursery, 20, RegistrySettings(routers_per_upstream=4))
+async def test_only_routing_hosts_know_an_upstream(autojump_clock, registry_cluster):
+    routed = RegistryCluster(
+        registry_cluster.nursery, 20, RegistrySettings(routers_per_upstream=4)
+    )
     await trio.sleep(1)
-    lease = routed.beat(routed.upstream(), at="e0")
+    lease = routed.send_heartbeat(routed.upstream(), at="e0")
     assert len(lease.entry_hosts) == 4
     for _ in range(8):
         for _ in range(4):
             await trio.sleep(0.25)
-            routers = {f"http://{host}" for host in routed.choosers() - {"e0"}}
-        routed.beat(routed.upstream(), at=lease.entry_hosts[0].removeprefix("http://"))
+            routers = {
+                f"http://{host}" for host in routed.hosts_with_candidate() - {"e0"}
+            }
+        routed.send_heartbeat(
+            routed.upstream(), at=lease.entry_hosts[0].removeprefix("http://")
+        )
         assert routers == set(lease.entry_hosts) - {"http://e0"}
 
 
-async def test_paused_host_trusts_no_old_lease(autojump_clock, entries):
-    entries.nursery.start_soon(entries.keep, entries.upstream(), 5, "e0")
+async def test_paused_host_uses_no_expired_lease(autojump_clock, registry_cluster):
+    registry_cluster.nursery.start_soon(
+        registry_cluster.send_heartbeats, registry_cluster.upstream(), 5, "e0"
+    )
     await trio.sleep(4)
-    entries.timers["e2"].pause()
+    registry_cluster.timers["e2"].pause()
     await trio.sleep(20)
-    entries.timers["e2"].resume()
+    registry_cluster.timers["e2"].resume()
     for _ in range(100):
-        assert not entries.choosers()
+        assert not registry_cluster.hosts_with_candidate()
         await trio.sleep(0.05)
 
 
-async def test_spread_costs_little(autojump_clock, entries):
+async def test_replication_traffic_is_small(autojump_clock, registry_cluster):
     for index in range(15):
-        upstream = entries.upstream(f"u{index}")
-        entries.nursery.start_soon(entries.keep, upstream, 40)
+        upstream = registry_cluster.upstream(f"u{index}")
+        registry_cluster.nursery.start_soon(
+            registry_cluster.send_heartbeats, upstream, 40
+        )
         await trio.sleep(0.07)
     await trio.sleep(10)
-    before = entries.network.bytes_sent.total()
-    pushes = entries.network.sent["UpstreamPush"]
+    before = registry_cluster.network.bytes_sent.total()
+    pushes = registry_cluster.network.sent["UpstreamPush"]
     await trio.sleep(20)
-    assert (entries.network.bytes_sent.total() - before) / 20 / 7 < 1500
-    # One a second to each other host.
-    assert (entries.network.sent["UpstreamPush"] - pushes) / 20 / 7 < 6.5
+    assert (registry_cluster.network.bytes_sent.total() - before) / 20 / 7 < 1500
+    # One push per second to each other host.
+    assert (registry_cluster.network.sent["UpstreamPush"] - pushes) / 20 / 7 < 6.5
 
 
 numbers = st.tuples(st.integers(1, 3), st.integers(1, 4))
 records = st.builds(
     lambda number, leaving, removed, models, running, age: Record(
         replace(
-            Entries.upstream(None, "u", number[0]),
+            RegistryCluster.upstream(None, "u", number[0]),
             models=frozenset(ModelKey(m) for m in models),
             load=Load(running=running),
             is_leaving=leaving,
