--- a/src/pepperstep/membership/detector.py
+++ b/src/pepperstep/membership/detector.py
@@ -2,7 +2,7 @@
 
 A failed probe makes its target a suspect only if a helper answers that its own
 probe of the target failed too. Without any helper's answer, this host may be the
-one that is cut off.
+isolated one.
 """
 
 import random
@@ -25,7 +25,7 @@
 __all__ = ["Detector"]
 
 _MAX_CONCURRENT_PROBES = 8
-# With only two hosts in a region, no third host can tell which one is cut off, so
+# With only two hosts in a region, no third host can tell which one is isolated, so
 # a suspect gets this many times the usual time to refute.
 _TWO_HOST_TIMEOUT_FACTOR = 9
 
--- a/src/pepperstep/membership/health.py
+++ b/src/pepperstep/membership/health.py
@@ -1,11 +1,11 @@
-"""Local health: whether this host itself is slow, paused or cut off."""
+"""Local health: whether this host itself is slow, paused or isolated."""
 
 from pepperstep.ports import Timers
 
 __all__ = ["LocalHealth"]
 
 _MAX_SCORE = 8
-# Without any answer for this long, this host considers itself cut off.
+# Without any answer for this long, this host considers itself isolated.
 _CONTACT_TIMEOUT_SECONDS = 1.5
 # A timer that fires later than this means that the process was paused.
 _MAX_DELAY_SECONDS = 0.5
--- a/tests/configuration/test_change_machine.py
+++ b/tests/configuration/test_change_machine.py
@@ -136,14 +136,16 @@
     before = log.machines[0].snapshot
     for document in ("base", "kitahara"):
         text = BASE_TEXT if document == "base" else KITAHARA
-        stray = change(
+        foreign_document = change(
             document, text, 3, operator="manila", site="bantayog", change_id=document
         )
-        assert log.send(stray).status == ChangeStatus.FORBIDDEN
-    lied = change("kitahara", KITAHARA, 3, operator="manila", change_id="lied")
-    assert log.send(lied).status == ChangeStatus.FORBIDDEN
-    grabs = change("bantayog", BANTAYOG + "[deployments.zaseki]\nmax_replicas=1", 3)
-    answer = log.send(grabs)
+        assert log.send(foreign_document).status == ChangeStatus.FORBIDDEN
+    wrong_site = change("kitahara", KITAHARA, 3, operator="manila", change_id="lied")
+    assert log.send(wrong_site).status == ChangeStatus.FORBIDDEN
+    foreign_entry = change(
+        "bantayog", BANTAYOG + "[deployments.zaseki]\nmax_replicas=1", 3
+    )
+    answer = log.send(foreign_entry)
     assert answer.status == ChangeStatus.INVALID
     assert [str(each) for each in answer.findings] == [
         "bantayog: deployments.zaseki: belongs to site kitahara"
--- a/tests/configuration/test_distribution.py
+++ b/tests/configuration/test_distribution.py
@@ -181,7 +181,7 @@
 
 async def test_paused_host_and_host_with_one_way_partition(autojump_clock):
     async with open_cluster(entries=6) as cluster:
-        frozen, deaf = cluster.stores["e0"], cluster.stores["e1"]
+        paused, half_isolated = cluster.stores["e0"], cluster.stores["e1"]
         cluster.timers["e0"].pause()
         # Messages from e1 are lost, messages to e1 arrive.
         for name in cluster.names:
@@ -190,13 +190,13 @@
         revision = await cluster.apply("bantayog", add_workspace(BANTAYOG, 1))
         await trio.sleep(ACTIVATION_SECONDS)
         assert cluster.lagging_hosts(revision) == ["e0"]
-        assert deaf.is_isolated and deaf.staleness > 55.0
+        assert half_isolated.is_isolated and half_isolated.staleness > 55.0
         cluster.timers["e0"].resume()
         await trio.sleep(0.0)
-        assert frozen.staleness > 55.0
+        assert paused.staleness > 55.0
         await trio.sleep(ACTIVATION_SECONDS)
         assert cluster.lagging_hosts(revision) == []
-        assert frozen.staleness < 5.0
+        assert paused.staleness < 5.0
 
 
 async def test_answer_from_before_a_pause_does_not_reset_staleness(autojump_clock):
