--- a/measure/placement.py
+++ b/measure/placement.py
@@ -123,7 +123,7 @@
             found[upstream] = sum(others, UpstreamWork())
         return found
 
-    def note_change(self, upstream: UpstreamKey, unread: int) -> None:
+    def report_unread(self, upstream: UpstreamKey, unread: int) -> None:
         told = partial(self._tell, upstream, self.own(upstream))
         self._clock.at(self._clock.now + _TELLING_SECONDS, told)
 
@@ -217,7 +217,7 @@
             if state["over"]:
                 return
             state["first"] = self._clock.now - begun
-            chooser.note_read(choice, state["first"])
+            chooser.record_prefill(choice, state["first"])
             if is_counted:
                 self.result.firsts.append(state["first"])
                 self.result.errors.append(state["first"] - choice.first_token)
@@ -237,7 +237,7 @@
             state["over"] = True
             engine.cancel(run)
             if state["first"] is None:
-                chooser.note_read(choice, None)
+                chooser.record_prefill(choice, None)
             chooser.end(choice.upstream, True)
             self.result.cut += is_counted
 
--- a/proofs/relay.py
+++ b/proofs/relay.py
@@ -458,7 +458,7 @@
         2,
         "requests at an upstream that started again end at once",
         "programs/entry_host.py",
-        "        self._pools.cut(before.key)\n",
+        "        self._pools.close_all(before.key)\n",
         "        pass\n",
         (
             f"{_RESTARTS}"
