--- a/proofs/relay.py
+++ b/proofs/relay.py
@@ -9,7 +9,7 @@
 _HOST_SHARE = "tests/relaying/test_host_share.py::"
 _RETRY_WINDOWS = (
     "tests/relaying/test_retry_windows.py"
-    "::test_hosts_that_forget_or_are_cut_off_send_no_allowance_twice"
+    "::test_no_window_exceeds_the_retry_budget_during_faults"
 )
 _DEPARTURES = "tests/relaying/test_acknowledged_leaving.py::"
 _ACKNOWLEDGED = (
@@ -53,9 +53,7 @@
         "relay/signals.py",
         "if facts.retry_after and status in _REFUSAL_STATUSES:",
         "if False:",
-        (
-            f"{_RETRY_AFTER}test_request_that_was_turned_away_is_served_by_a_free_upstream",
-        ),
+        (f"{_RETRY_AFTER}test_refused_request_is_served_by_a_free_upstream",),
     ),
     Mechanism(
         8,
@@ -63,10 +61,7 @@
         "relay/permits.py",
         '        asked = self._owners.owner_of(upstream[0]) or ""\n',
         "        asked = self._owners.own_name\n",
-        (
-            f"{_LIMITS}test_all_hosts_together_keep_an_upstreams_stated_limit"
-            "[7-1.0-/safe/1]",
-        ),
+        (f"{_LIMITS}test_all_hosts_together_obey_an_upstreams_limit[7-1.0-/safe/1]",),
     ),
     Mechanism(
         8,
@@ -74,7 +69,7 @@
         "relay/permits.py",
         "bucket.charge(message.count, rate, _capacity_of(rate), self._now())",
         "pass",
-        (f"{_LIMITS}test_limit_holds_while_hosts_disagree_on_the_granting_host[1]",),
+        (f"{_LIMITS}test_limit_holds_while_hosts_disagree_on_the_owner[1]",),
     ),
     Mechanism(
         8,
@@ -83,10 +78,7 @@
         '        self._backoff.hold(upstream, bounded, "no permit", asked)\n'
         "        return False\n",
         "        return True\n",
-        (
-            f"{_LIMITS}test_all_hosts_together_keep_an_upstreams_stated_limit"
-            "[7-1.0-/safe/1]",
-        ),
+        (f"{_LIMITS}test_all_hosts_together_obey_an_upstreams_limit[7-1.0-/safe/1]",),
     ),
     Mechanism(
         8,
@@ -94,7 +86,7 @@
         "relay/signals.py",
         "        self._has_pending.set()\n",
         "        pass\n",
-        (f"{_LIMITS}test_hosts_that_were_not_told_by_the_upstream_keep_its_limit",),
+        (f"{_LIMITS}test_hosts_learn_a_limit_from_another_hosts_answer",),
     ),
     Mechanism(
         2,
@@ -118,7 +110,7 @@
         "relay/attempt.py",
         "            whole = events.feed(piece)\n",
         "            events.feed(piece)\n            whole = piece\n",
-        (f"{_RELAY}test_broken_stream_goes_on_after_the_last_whole_event",),
+        (f"{_RELAY}test_broken_stream_resumes_after_the_last_complete_event",),
     ),
     Mechanism(
         2,
@@ -126,7 +118,7 @@
         "relay/attempt.py",
         "with trio.move_on_after(_SEND_TIMEOUT_SECONDS, shield=True):",
         "with trio.move_on_after(_SEND_TIMEOUT_SECONDS):",
-        (f"{_RELAY}test_answer_that_comes_just_in_time_is_sent_whole[200]",),
+        (f"{_RELAY}test_answer_just_before_the_deadline_is_sent_completely[200]",),
     ),
     Mechanism(
         2,
@@ -136,7 +128,7 @@
         "if False:",
         (
             "tests/relaying/test_http1.py::"
-            "test_bad_request_is_refused_and_not_passed_on",
+            "test_malformed_request_is_refused_and_not_handled",
         ),
     ),
     Mechanism(
@@ -153,7 +145,7 @@
         "relay/attempt.py",
         "request.may_have_run = request.may_have_run or fault.was_sent",
         "request.may_have_run = request.may_have_run",
-        (f"{_RELAY}test_broken_once_only_request_is_never_said_not_to_have_run",),
+        (f"{_RELAY}test_broken_once_only_request_is_never_reported_as_not_run",),
     ),
     Mechanism(
         5,
@@ -254,7 +246,7 @@
         "consensus/repair.py",
         "silent = [voter for voter, age in ages.items() if age > _SILENCE_SECONDS]",
         "silent = []",
-        (f"{_GROUP}test_host_at_another_address_takes_the_place_of_one_gone",),
+        (f"{_GROUP}test_host_at_a_new_address_replaces_a_lost_one",),
     ),
     Mechanism(
         9,
@@ -340,7 +332,7 @@
         "relay/quotas.py",
         "bucket.level - cost >= self._reserve(bucket)",
         "bucket.level - cost >= 0",
-        (f"{_QUOTAS}test_no_window_has_more_than_is_allowed",),
+        (f"{_QUOTAS}test_no_window_exceeds_the_quota",),
     ),
     Mechanism(
         8,
@@ -348,7 +340,7 @@
         "relay/quotas.py",
         "            return _ISOLATED_SHARE_FRACTION * equal\n",
         "            return equal\n",
-        (f"{_QUOTAS}test_hosts_without_contact_keep_the_windows",),
+        (f"{_QUOTAS}test_no_window_exceeds_the_quota_with_isolated_hosts",),
     ),
     Mechanism(
         8,
@@ -356,7 +348,7 @@
         "relay/quotas.py",
         "return equal * max(1.0, _MAX_SHARE_GROWTH * left)",
         "return equal",
-        (f"{_QUOTAS}test_parts_of_hosts_that_are_gone_are_given_out",),
+        (f"{_QUOTAS}test_shares_of_lost_hosts_are_used",),
     ),
     Mechanism(
         8,
@@ -364,7 +356,7 @@
         "relay/quotas.py",
         "        for bucket in self._buckets.values():\n            quota =",
         "        for bucket in ():\n            quota =",
-        (f"{_QUOTAS}test_most_is_admitted_right_after_all_hosts_have_restarted",),
+        (f"{_QUOTAS}test_most_requests_are_admitted_after_all_hosts_restart",),
     ),
     Mechanism(
         9,
@@ -372,7 +364,7 @@
         "relay/choice.py",
         "    return work.unread + _TOKENS_PER_REQUEST * work.requests",
         "    return work.unread",
-        (f"{_PLACEMENT}test_prompts_come_in_time",),
+        (f"{_PLACEMENT}test_first_tokens_arrive_in_time",),
     ),
     Mechanism(
         9,
@@ -380,7 +372,7 @@
         "relay/choice.py",
         "+ rank_cost_share * shared * rank",
         "",
-        (f"{_PLACEMENT}test_hosts_send_a_parts_prompts_to_few_engines",),
+        (f"{_PLACEMENT}test_prompts_with_a_shared_part_go_to_few_engines",),
     ),
     Mechanism(
         9,
@@ -412,7 +404,7 @@
         "relay/relay.py",
         "if request.attempt_count and not self._spend_retry(request):",
         "if False:",
-        (f"{_RELAY}test_retries_stop_with_their_budget",),
+        (f"{_RELAY}test_retries_stop_when_their_budget_is_exhausted",),
     ),
     Mechanism(
         8,
@@ -420,7 +412,7 @@
         "relay/budget.py",
         "counts.saved = counts.credit = 0.0",
         "counts.saved, counts.credit = 60.0, 0.0",
-        (f"{_HOST_SHARE}test_lives_of_all_hosts_send_one_allowance_in_any_window",),
+        (f"{_HOST_SHARE}test_restarting_hosts_never_exceed_the_allowance_in_a_window",),
     ),
     Mechanism(
         8,
@@ -428,7 +420,7 @@
         "relay/budget.py",
         "(by_allowance > counts.saved or not self._share.part)",
         "by_allowance > counts.saved",
-        (f"{_HOST_SHARE}test_short_loss_of_contact_gives_nothing_and_takes_nothing",),
+        (f"{_HOST_SHARE}test_short_loss_of_contact_keeps_the_saved_retries",),
     ),
     Mechanism(
         8,
@@ -436,7 +428,7 @@
         "coordination/host_share.py",
         "while len(self._told) > 1 and self._told[0][0] < limit:",
         "while len(self._told) > 1:",
-        (f"{_HOST_SHARE}test_lower_number_counts_after_a_window_only",),
+        (f"{_HOST_SHARE}test_lower_host_count_applies_after_a_window",),
     ),
     Mechanism(
         8,
@@ -492,7 +484,7 @@
         "return self._timers.wall()",
         (
             "tests/relaying/test_clock_steps.py::"
-            "test_jumps_of_clocks_move_no_hosts_true_time",
+            "test_clock_jumps_do_not_change_the_estimated_time",
         ),
     ),
     Mechanism(
@@ -503,7 +495,7 @@
         "return own",
         (
             "tests/relaying/test_shared_load.py::"
-            "test_small_prompts_avoid_what_reads_another_hosts_large_one",
+            "test_small_prompts_avoid_an_engine_busy_with_another_hosts_prompt",
         ),
     ),
     Mechanism(
@@ -512,7 +504,7 @@
         "relay/quotas.py",
         "admission = None if claim is None else await claim(workspace.name, cost)",
         "admission = None",
-        (f"{_QUOTAS}test_windows_are_kept_when_demand_jumps_at_many_hosts",),
+        (f"{_QUOTAS}test_no_window_exceeds_the_quota_when_demand_jumps",),
     ),
     Mechanism(
         7,
--- a/tests/relaying/test_group_properties.py
+++ b/tests/relaying/test_group_properties.py
@@ -1,6 +1,7 @@
-"""Whatever series of losses the control group has, what was acknowledged stays.
+"""Acknowledged changes survive any sequence of faults of the control group.
 
-Faults come in any order, but no more disks are lost at a time than the group bears.
+Faults come in random order, but never more disks are lost at a time than the group
+tolerates.
 """
 
 import json
@@ -13,11 +14,11 @@
 from tests.relaying.world import World, open_world
 
 SEEDS = ("c0:1", "c1:1", "c2:1")
-# A host that is back, or new, counts as lost for so long, in seconds.
+# A restarted or new host counts as lost until it has caught up.
 CATCH_UP_SECONDS = 4.0
-# The group must serve again so long after all hosts are back, in seconds.
+# Time within which the group must serve after all hosts are back.
 RECOVERY_SECONDS = 8.0
-PUT_SECONDS = 3.0
+PUT_TIMEOUT_SECONDS = 3.0
 
 STEPS = st.one_of(
     st.tuples(st.just("put"), st.just(0)),
@@ -30,21 +31,21 @@
 
 
 class Operator:
-    """Plays steps on a group, and remembers what was acknowledged."""
+    """Applies steps to a group and tracks the acknowledged version."""
 
     def __init__(self, world: World):
         self._world = world
         self._members = list(SEEDS)
         self._down: set[str] = set()
-        self._disturbed_at = float("-inf")
+        self._last_fault_at = float("-inf")
         self._version = 1
         self._replaced = 0
         self.acknowledged = 1
-        # Highest version seen on the entry host.
+        # Latest version seen on the entry host.
         self.seen = 1
 
     async def play(self, step: str, value: int) -> None:
-        """Play one step, as far as it makes sense now."""
+        """Apply one step if the group's state permits it."""
         if step == "put":
             await self._put()
         elif step == "wait":
@@ -55,7 +56,7 @@
             await self._lose_disk(value, is_replaced=step == "replace")
         elif step == "isolate":
             self._world.network.isolate(self._members[value])
-            self._disturbed_at = trio.current_time()
+            self._last_fault_at = trio.current_time()
         elif step == "heal":
             self._world.network.heal()
         elif step == "kill all":
@@ -66,19 +67,19 @@
         self.check_entry()
 
     async def start_all(self) -> None:
-        """Start all that is down, on the disk that it had."""
+        """Start all stopped hosts with their previous disks."""
         for name in sorted(self._down):
             await self._world.start_control(name, SEEDS, is_first=False)
         self._down.clear()
 
     def check_entry(self) -> None:
-        """The entry host never goes back."""
+        """Check that the entry host's version never decreases."""
         version = self._world.entries["e0:1"].tables.current.version
         assert version >= self.seen
         self.seen = version
 
     async def check_all(self) -> None:
-        """All hosts have at least what was acknowledged, and take the next."""
+        """Check that all hosts have the acknowledged version and accept a new one."""
         self._world.network.heal()
         await self.start_all()
         await trio.sleep(RECOVERY_SECONDS)
@@ -95,7 +96,7 @@
         if not self._world.controls:
             return
         self._version += 1
-        with trio.move_on_after(PUT_SECONDS):
+        with trio.move_on_after(PUT_TIMEOUT_SECONDS):
             await self._world.put(self._version)
             self.acknowledged = self._version
 
@@ -103,12 +104,12 @@
         if name not in self._down:
             self._world.kill(name)
             self._down.add(name)
-        self._disturbed_at = trio.current_time()
+        self._last_fault_at = trio.current_time()
 
     async def _lose_disk(self, number: int, *, is_replaced: bool) -> None:
-        """Lose one disk, if all others are up and have caught up."""
-        is_calm = trio.current_time() - self._disturbed_at > CATCH_UP_SECONDS
-        if self._down or not is_calm:
+        """Lose one disk if all other hosts are up and have caught up."""
+        is_stable = trio.current_time() - self._last_fault_at > CATCH_UP_SECONDS
+        if self._down or not is_stable:
             return
         name = self._members[number]
         self._world.kill(name, is_disk_lost=True)
@@ -117,7 +118,7 @@
             name = f"n{self._replaced}:1"
             self._members[number] = name
         await self._world.start_control(name, SEEDS, is_first=False)
-        self._disturbed_at = trio.current_time()
+        self._last_fault_at = trio.current_time()
 
 
 @settings(
@@ -127,7 +128,7 @@
     suppress_health_check=list(HealthCheck),
 )
 @given(steps=st.lists(STEPS, max_size=14), seed=st.integers(0, 1_000))
-def test_acknowledged_tables_stay(steps, seed):
+def test_acknowledged_tables_survive_faults(steps, seed):
     async def play() -> None:
         async with open_world(entries=1, seed=seed) as world:
             operator = Operator(world)
@@ -135,7 +136,7 @@
                 try:
                     await operator.play(step, value)
                 except Failure:
-                    # A read or a change that the group can't answer now.
+                    # The group can't answer a read or a change at the moment.
                     continue
             await operator.check_all()
 
--- a/tests/relaying/test_host_share.py
+++ b/tests/relaying/test_host_share.py
@@ -1,4 +1,4 @@
-"""A host's part of what all entry hosts share, and the retries that it allows."""
+"""A host's share of what all entry hosts share, and the retries it allows."""
 
 import random
 
@@ -13,7 +13,7 @@
 
 
 class Clock:
-    """Monotonic time that a test sets."""
+    """A monotonic clock that a test advances."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -24,50 +24,50 @@
 
 @pytest.fixture
 def clock() -> Clock:
-    """Give a clock at 0."""
+    """Return a clock at 0."""
     return Clock()
 
 
 @pytest.fixture
 def share(clock) -> HostShare:
-    """Give the share of a host that has been told of nothing."""
+    """Return the share of a host without any reports."""
     return HostShare(WINDOW, clock)
 
 
-def tell(share: HostShare, clock: Clock, hosts: int, seconds: float) -> None:
-    """Let a share be told twice a second."""
+def report_hosts(share: HostShare, clock: Clock, hosts: int, seconds: float) -> None:
+    """Report the number of hosts twice a second."""
     for _ in range(round(2 * seconds)):
         clock.now += 0.5
         share.note_told(hosts)
 
 
-def test_host_without_word_has_no_part(share, clock):
+def test_host_without_reports_has_no_share(share, clock):
     assert share.part == 0.0
-    tell(share, clock, 4, 1.0)
+    report_hosts(share, clock, 4, 1.0)
     assert share.part == 0.25
     clock.now += 2.0
     assert share.part == 0.0
 
 
-def test_lower_number_counts_after_a_window_only(share, clock):
-    tell(share, clock, 50, 1.0)
-    tell(share, clock, 1, WINDOW - 1.0)
+def test_lower_host_count_applies_after_a_window(share, clock):
+    report_hosts(share, clock, 50, 1.0)
+    report_hosts(share, clock, 1, WINDOW - 1.0)
     assert share.hosts == 50
-    tell(share, clock, 2, 2.0)
+    report_hosts(share, clock, 2, 2.0)
     assert share.hosts == 2
 
 
-def test_host_out_of_contact_for_long_begins_anew(share, clock):
-    tell(share, clock, 4, 8.0)
+def test_credit_is_reset_after_a_long_loss_of_contact(share, clock):
+    report_hosts(share, clock, 4, 8.0)
     assert share.credit > 1.0
     clock.now += 8.0
     share.note_told(4)
     assert (share.credit, share.joins) == (0.0, 2)
 
 
-def test_short_loss_of_contact_gives_nothing_and_takes_nothing(share, clock):
+def test_short_loss_of_contact_keeps_the_saved_retries(share, clock):
     budget = RetryBudget(SETTINGS, share, clock)
-    tell(share, clock, 10, 12.0)
+    report_hosts(share, clock, 10, 12.0)
     before = budget.state_of("plain").saved
     assert before > 2
     clock.now += 3.0
@@ -78,10 +78,10 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_lives_of_all_hosts_send_one_allowance_in_any_window(clock, seed):
+def test_restarting_hosts_never_exceed_the_allowance_in_a_window(clock, seed):
     rng = random.Random(seed)
     count = rng.choice([1, 5, 12, 55])
-    times = []
+    retry_times = []
 
     def start() -> tuple[HostShare, RetryBudget]:
         share = HostShare(WINDOW, clock)
@@ -93,9 +93,12 @@
         for number, (share, budget) in enumerate(hosts):
             share.note_told(count)
             while rng.random() < 0.9 and budget.try_spend("plain"):
-                times.append(clock.now)
+                retry_times.append(clock.now)
             if rng.random() < 0.05:
                 hosts[number] = start()
-    for first in times:
-        assert sum(first <= each <= first + WINDOW for each in times) <= ALLOWANCE
-    assert times
+    for window_start in retry_times:
+        assert (
+            sum(window_start <= each <= window_start + WINDOW for each in retry_times)
+            <= ALLOWANCE
+        )
+    assert retry_times
--- a/tests/relaying/test_http1.py
+++ b/tests/relaying/test_http1.py
@@ -1,4 +1,4 @@
-"""The server and the connections to upstreams, over real sockets on loopback."""
+"""The HTTP/1.1 server and client connections over loopback sockets."""
 
 from contextlib import asynccontextmanager
 
@@ -12,23 +12,23 @@
 from pepperstep.ports.exchange import Answer, AnswerHead, ConnectionFault, RequestHead
 
 LIMITS = CallerLimits(header_bytes=2_000, body_bytes=1_000)
-GOOD = b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nhi"
+VALID_REQUEST = b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nhi"
 
 
 class Handler:
-    """Answers each request with its body and keeps what it has seen."""
+    """Answers each request with its body and records the requests."""
 
     def __init__(self):
-        self.seen: list[tuple[bytes, bytes]] = []
+        self.requests: list[tuple[bytes, bytes]] = []
 
     async def handle(self, exchange) -> None:
-        self.seen.append((exchange.head.target, exchange.body))
+        self.requests.append((exchange.head.target, exchange.body))
         await exchange.answer(Answer(200, exchange.body))
 
 
 @asynccontextmanager
-async def serving(handler, limits=LIMITS):
-    """Give the address of a server."""
+async def open_server(handler, limits=LIMITS):
+    """Open a server; yield its address and the server."""
     listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
     port = listeners[0].socket.getsockname()[1]
     await listeners[0].aclose()
@@ -41,7 +41,7 @@
 
 
 async def exchange(address: str, *parts: bytes) -> bytes:
-    """Send bytes, end the sending side and return all that comes back."""
+    """Send bytes on a new connection and return the bytes received."""
     host, _, port = address.partition(":")
     stream = await trio.open_tcp_stream(host, int(port))
     async with stream:
@@ -81,59 +81,59 @@
         (b"\x16\x03\x01\x02\x00\x01", b"400"),
     ],
 )
-async def test_bad_request_is_refused_and_not_passed_on(data, status):
+async def test_malformed_request_is_refused_and_not_handled(data, status):
     handler = Handler()
-    async with serving(handler.handle) as (address, _):
+    async with open_server(handler.handle) as (address, _):
         if status == b"413":
             data += b"x" * 2_000
-        received = await exchange(address, data, b"\r\n\r\n" + GOOD)
+        received = await exchange(address, data, b"\r\n\r\n" + VALID_REQUEST)
         assert received.startswith(b"HTTP/1.1 " + status)
         assert b"connection: close" in received.lower()
-    assert handler.seen == []
+    assert handler.requests == []
 
 
-async def test_slow_header_ends_the_connection():
+async def test_slow_header_times_out():
     handler = Handler()
     limits = CallerLimits(header_seconds=0.05)
-    async with serving(handler.handle, limits) as (address, _):
-        received = await exchange(address, GOOD[:20])
+    async with open_server(handler.handle, limits) as (address, _):
+        received = await exchange(address, VALID_REQUEST[:20])
         assert received.startswith(b"HTTP/1.1 408")
 
 
-async def test_requests_follow_each_other_on_one_connection():
+async def test_pipelined_requests_are_served_in_order():
     handler = Handler()
-    async with serving(handler.handle) as (address, _):
+    async with open_server(handler.handle) as (address, _):
         host, _, port = address.partition(":")
         async with await trio.open_tcp_stream(host, int(port)) as stream:
-            await stream.send_all(GOOD + GOOD.replace(b"/a", b"/b"))
+            await stream.send_all(VALID_REQUEST + VALID_REQUEST.replace(b"/a", b"/b"))
             received = b""
             while received.count(b"hi") < 2:
                 received += await stream.receive_some()
-    assert handler.seen == [(b"/a", b"hi"), (b"/b", b"hi")]
+    assert handler.requests == [(b"/a", b"hi"), (b"/b", b"hi")]
 
 
-async def test_closing_server_says_so_with_each_answer():
+async def test_closing_server_sends_connection_close():
     handler = Handler()
-    async with serving(handler.handle) as (address, server):
+    async with open_server(handler.handle) as (address, server):
         server.announce_closing()
-        received = await exchange(address, GOOD)
+        received = await exchange(address, VALID_REQUEST)
         assert b"connection: close" in received.lower()
 
 
-async def test_error_in_a_handler_ends_its_connection_only():
-    async def fail(exchange) -> None:
+async def test_handler_error_closes_only_its_connection():
+    async def raise_or_answer(exchange) -> None:
         if exchange.head.target == b"/a":
             raise ValueError
         await exchange.answer(Answer(200, b"hi"))
 
-    async with serving(fail) as (address, _):
+    async with open_server(raise_or_answer) as (address, _):
         host, _, port = address.partition(":")
         async with await trio.open_tcp_stream(host, int(port)) as stream:
-            await stream.send_all(GOOD)
+            await stream.send_all(VALID_REQUEST)
             with pytest.raises(trio.BrokenResourceError):
                 while await stream.receive_some():
                     pass
-        received = await exchange(address, GOOD.replace(b"/a", b"/b"))
+        received = await exchange(address, VALID_REQUEST.replace(b"/a", b"/b"))
         assert received.startswith(b"HTTP/1.1 200")
 
 
@@ -167,7 +167,7 @@
 def test_no_bytes_break_the_server(pieces):
     async def main() -> None:
         handler = Handler()
-        async with serving(handler.handle) as (address, _):
+        async with open_server(handler.handle) as (address, _):
             host, _, port = address.partition(":")
             async with await trio.open_tcp_stream(host, int(port)) as stream:
                 await stream.send_all(b"".join(pieces))
@@ -178,21 +178,21 @@
                         received += data
                 except trio.BrokenResourceError:
                     pass
-            # Others are served as before.
-            assert (await exchange(address, GOOD)).startswith(b"HTTP/1.1 200")
+            # Other connections are still served.
+            assert (await exchange(address, VALID_REQUEST)).startswith(b"HTTP/1.1 200")
 
     trio.run(main)
 
 
 @asynccontextmanager
-async def upstream(*answers: bytes, ends: bool = False):
-    """Give the address of a server that sends raw answers, one a request."""
+async def open_upstream(*answers: bytes, closes: bool = False):
+    """Open a server that sends one raw answer per request; yield its address."""
 
     async def serve(stream: trio.SocketStream) -> None:
         for answer in answers:
             await stream.receive_some()
             await stream.send_all(answer)
-        if not ends:
+        if not closes:
             await trio.sleep_forever()
 
     async with trio.open_nursery() as nursery:
@@ -207,33 +207,33 @@
 
 
 async def ask(address: str) -> tuple[AnswerHead, bytes, object]:
-    """Send a request and return the answer with its connection."""
+    """Send a request and return the answer's head, its body and the connection."""
     connection = await Http1Connector(trio.current_time).connect(address, 1.0)
     head = await connection.send(HEAD, b"body")
     body = b"".join([piece async for piece in connection.pieces()])
     return head, body, connection
 
 
-async def test_whole_answer_leaves_a_reusable_connection():
+async def test_complete_answer_leaves_a_reusable_connection():
     answer = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
-    async with upstream(answer, answer) as address:
+    async with open_upstream(answer, answer) as address:
         head, body, connection = await ask(address)
         assert (head.status, body) == (200, b"hi")
         assert connection.is_reusable()
         assert (await connection.send(HEAD, b"")).status == 200
 
 
-async def test_stray_bytes_behind_an_answer_end_the_connection():
+async def test_extra_bytes_after_an_answer_prevent_reuse():
     answer = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi!"
-    async with upstream(answer) as address:
+    async with open_upstream(answer) as address:
         _, body, connection = await ask(address)
         assert body == b"hi"
         assert not connection.is_reusable()
 
 
-async def test_second_answer_is_found_behind_a_stray_one():
+async def test_answer_after_a_skipped_one_is_read():
     answer = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n"
-    async with upstream(answer + b"no" + answer + b"hi") as address:
+    async with open_upstream(answer + b"no" + answer + b"hi") as address:
         connection = await Http1Connector(trio.current_time).connect(address, 1.0)
         await connection.send(HEAD, b"body")
         await connection.skip_answer()
@@ -249,8 +249,8 @@
         b"",
     ],
 )
-async def test_answer_that_breaks_off_is_a_fault(answer):
-    async with upstream(answer, ends=True) as address:
+async def test_truncated_answer_raises_a_fault(answer):
+    async with open_upstream(answer, closes=True) as address:
         with pytest.raises(ConnectionFault) as caught:
             await ask(address)
         assert caught.value.was_sent
@@ -262,7 +262,7 @@
     assert not caught.value.was_sent
 
 
-async def test_answer_before_the_body_was_read_comes_through():
+async def test_answer_before_the_body_is_read_arrives():
     async def serve(stream: trio.SocketStream) -> None:
         await stream.receive_some(100)
         await stream.send_all(b"HTTP/1.1 413 No\r\nContent-Length: 0\r\n\r\n")
@@ -280,14 +280,14 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_closing_a_connection_that_is_read_is_a_fault():
-    async def keep_silent(stream) -> None:
+async def test_closing_a_connection_during_a_read_raises_a_fault():
+    async def never_answer(stream) -> None:
         await trio.sleep_forever()
 
     async with trio.open_nursery() as nursery:
         [listener] = await trio.open_tcp_listeners(0, host="127.0.0.1")
         port = listener.socket.getsockname()[1]
-        nursery.start_soon(trio.serve_listeners, keep_silent, [listener])
+        nursery.start_soon(trio.serve_listeners, never_answer, [listener])
         connector = Http1Connector(trio.current_time)
         connection = await connector.connect(f"127.0.0.1:{port}", 5.0)
         faults = []
--- a/tests/relaying/test_quota_claims.py
+++ b/tests/relaying/test_quota_claims.py
@@ -1,4 +1,4 @@
-"""Hosts that ask one of them for what is left of a workspace's quota."""
+"""Claims on a nearly exhausted quota, granted by the workspace's owner."""
 
 import random
 from contextlib import asynccontextmanager
@@ -28,75 +28,75 @@
         self.keepers = KeyOwners(name, peers, timers, lambda: NAMES)
         self.claims = QuotaClaims(self.keepers, peers, self.quotas)
 
-    async def know(self) -> None:
-        """Let the host know the workspace until nothing of its quota is spent."""
+    async def fill_quota(self) -> None:
+        """Create the workspace's bucket and wait until it's full."""
         self.quotas.watch(RouteTable(1, workspaces=(WORKSPACE,)))
         await trio.sleep(QUOTA.burst / QUOTA.rate)
 
 
 @asynccontextmanager
 async def open_hosts():
-    """Give three hosts by name, those that claim first, and their network."""
+    """Open three hosts; yield the owner, the other hosts and the network."""
     network = FakeNetwork(random.Random(0))
     async with trio.open_nursery() as nursery:
         hosts = {name: Host(name, network, nursery) for name in NAMES}
-        keeper = hosts["e1"].keepers.owner_of("desk")
-        others = [host for name, host in hosts.items() if name != keeper]
-        yield hosts[keeper], others, network
+        owner = hosts["e1"].keepers.owner_of("desk")
+        others = [host for name, host in hosts.items() if name != owner]
+        yield hosts[owner], others, network
         nursery.cancel_scope.cancel()
 
 
-async def test_what_is_left_is_granted_once_to_all(autojump_clock):
-    async with open_hosts() as (keeper, others, _):
-        await keeper.know()
+async def test_remaining_quota_is_granted_only_once(autojump_clock):
+    async with open_hosts() as (owner, others, _):
+        await owner.fill_quota()
         granted = 0
         for number in range(30):
             granted += not (await others[number % 2].claims.claim("desk", 90)).wait
         assert 0 < granted * 90 <= QUOTA.burst
-        # The granting host has taken it off for its own requests, too.
-        own = await keeper.claims.claim("desk", 90)
+        # The grants also reduce what the owner's own requests can get.
+        own = await owner.claims.claim("desk", 90)
         assert own.wait > 0
-        assert own.asked == keeper.name
+        assert own.asked == owner.name
 
 
-async def test_refused_claims_tell_when_to_come_back(autojump_clock):
-    async with open_hosts() as (keeper, others, _):
-        await keeper.know()
+async def test_refused_claim_has_a_usable_retry_time(autojump_clock):
+    async with open_hosts() as (owner, others, _):
+        await owner.fill_quota()
         while not (refused := await others[0].claims.claim("desk", 100)).wait:
             pass
         assert refused.wait <= 5.0
-        assert (refused.asked, refused.left) == (keeper.name, pytest.approx(400, abs=1))
+        assert (refused.asked, refused.left) == (owner.name, pytest.approx(400, abs=1))
         await trio.sleep(refused.wait + 0.01)
         assert not (await others[0].claims.claim("desk", 100)).wait
 
 
-async def test_grants_are_taken_once_though_they_are_told_later(autojump_clock):
-    async with open_hosts() as (keeper, others, _):
-        await keeper.know()
-        keeper.quotas.record_spent_elsewhere("desk", 0)
+async def test_grants_are_not_charged_again_when_reported(autojump_clock):
+    async with open_hosts() as (owner, others, _):
+        await owner.fill_quota()
+        owner.quotas.record_spent_elsewhere("desk", 0)
         for _ in range(3):
             assert not (await others[0].claims.claim("desk", 100)).wait
-        keeper.quotas.record_spent_elsewhere("desk", 250)
-        assert keeper.quotas.state_of("desk").level >= QUOTA.burst - 300
-        keeper.quotas.record_spent_elsewhere("desk", 400)
-        assert keeper.quotas.state_of("desk").level <= QUOTA.burst - 390
+        owner.quotas.record_spent_elsewhere("desk", 250)
+        assert owner.quotas.state_of("desk").level >= QUOTA.burst - 300
+        owner.quotas.record_spent_elsewhere("desk", 400)
+        assert owner.quotas.state_of("desk").level <= QUOTA.burst - 390
 
 
-async def test_silent_host_is_asked_now_and_then_only(autojump_clock):
-    async with open_hosts() as (keeper, others, network):
+async def test_silent_owner_is_asked_rarely(autojump_clock):
+    async with open_hosts() as (owner, others, network):
         host = others[0]
-        network.isolate(keeper.name)
+        network.isolate(owner.name)
         network.sent.clear()
-        begun = trio.current_time()
+        started_at = trio.current_time()
         for _ in range(20):
             assert await host.claims.claim("desk", 10) is None
-        assert trio.current_time() - begun <= 0.06
+        assert trio.current_time() - started_at <= 0.06
         assert network.sent["QuotaClaim"] == 1
         network.heal()
-        await keeper.know()
+        await owner.fill_quota()
         assert not (await host.claims.claim("desk", 10)).wait
 
 
-async def test_host_that_does_not_know_the_workspace_grants_nothing(autojump_clock):
+async def test_host_without_the_workspace_grants_nothing(autojump_clock):
     async with open_hosts() as (_, others, _):
         assert await others[0].claims.claim("desk", 10) is None
--- a/tests/relaying/test_quota_windows.py
+++ b/tests/relaying/test_quota_windows.py
@@ -1,4 +1,4 @@
-"""What all hosts admit together in any window, while counts travel late."""
+"""Cost that all hosts admit in any window, while counts arrive late."""
 
 import heapq
 import random
@@ -17,45 +17,45 @@
 ALLOWED = (QUOTA.rate * WINDOW + QUOTA.burst) * 1.1 + 110_000
 
 
-# None is granted, as where the host that grants doesn't answer; or host 3 grants, or
-# host 0, which is among those that are cut off.
-keepers = pytest.mark.parametrize("keeper", [None, 3, 0])
+# The host that grants quota: none, as if it didn't answer; host 3; or host 0, which is
+# among the isolated hosts.
+with_owners = pytest.mark.parametrize("owner", [None, 3, 0])
 
 
 class Hosts:
-    """Hosts that learn of each other's spending by rounds of their own."""
+    """Hosts that exchange their spending periodically, each at its own times."""
 
-    def __init__(self, count: int, rng: random.Random, keeper: int | None = None):
+    def __init__(self, count: int, rng: random.Random, owner: int | None = None):
         self.now = 0.0
-        # The host that grants what is left, None for none.
-        self._keeper = keeper
+        # The host that grants the remaining quota, None for none.
+        self._owner = owner
         self._rng = rng
-        # Hosts that hear and tell nothing, and those that know so by now.
+        # Hosts that exchange nothing, and those of them that have noticed it.
         self.cut: set[int] = set()
-        self.alone: set[int] = set()
+        self.isolated: set[int] = set()
         self._count = count
         self.quotas = [self._new(host) for host in range(count)]
-        # What ended lives have admitted, as control hosts remember it.
-        self._ended = 0
-        self._told = [0] * count
+        # Cost admitted by ended incarnations, as control hosts keep it.
+        self._admitted_by_ended = 0
+        self._reported = [0] * count
 
     def restart(self, host: int) -> None:
-        """Let a host forget all."""
-        self._ended += self._told[host]
-        self._told[host] = 0
+        """Restart a host, which loses its state."""
+        self._admitted_by_ended += self._reported[host]
+        self._reported[host] = 0
         self.quotas[host] = self._new(host)
 
     def restart_all(self) -> None:
-        """Start all hosts and control hosts anew, which hosts hear of at once."""
+        """Restart all hosts and control hosts, which all hosts learn at once."""
         for host in range(len(self.quotas)):
             self.restart(host)
-        self._ended = 0
+        self._admitted_by_ended = 0
         self.watch()
         for quotas in self.quotas:
             quotas.refill_after_restart()
 
     def watch(self) -> None:
-        """Let all hosts know the workspace before its first request."""
+        """Create the workspace's bucket on all hosts before its first request."""
         for quotas in self.quotas:
             quotas.watch(RouteTable(1, workspaces=(WORKSPACE,)))
 
@@ -63,20 +63,20 @@
         """Ask a host to admit a request of the workspace."""
 
         async def claim(workspace: str, cost: float) -> Admission | None:
-            if self._keeper is None or {host, self._keeper} & self.cut:
+            if self._owner is None or {host, self._owner} & self.cut:
                 return None
-            keeper = self.quotas[self._keeper]
-            return keeper.grant(workspace, cost, is_own=host == self._keeper)
+            owner = self.quotas[self._owner]
+            return owner.grant(workspace, cost, is_own=host == self._owner)
 
         return not run_now(self.quotas[host].admit(WORKSPACE, cost, claim)).wait
 
     def exchange(self, host: int) -> None:
-        """Tell a host's spending, and let it learn the others'."""
+        """Report a host's spending and apply the other hosts' total."""
         if host in self.cut:
             return
         quotas = self.quotas[host]
-        self._told[host] = quotas.admitted().get("desk", 0)
-        total = self._ended + sum(self._told) - self._told[host]
+        self._reported[host] = quotas.admitted().get("desk", 0)
+        total = self._admitted_by_ended + sum(self._reported) - self._reported[host]
         quotas.record_spent_elsewhere("desk", total)
 
     def _new(self, host: int) -> Quotas:
@@ -84,33 +84,33 @@
             lambda: self._count,
             lambda: self.now,
             TOLERANCE,
-            lambda: host not in self.alone,
+            lambda: host not in self.isolated,
             phase=(host + 0.5) / self._count,
         )
 
 
 def play(
     seed: int,
-    times: float,
+    demand_factor: float,
     restarts: int = 0,
     count: int = 7,
     *,
-    gone: int = 0,
+    lost: int = 0,
     cut: int = 0,
-    keeper: int | None = None,
+    owner: int | None = None,
     asked: list | None = None,
 ) -> list:
-    """Return the time and cost of all that is admitted.
+    """Return the times and costs of the admitted requests.
 
-    The demand is `times` the quota's rate between 5 and 16 s, and a half of it
-    else; hosts start again at any time. The first `gone` hosts get no requests,
-    and the first `cut` hosts lose contact from 6 to 14 s, which they know 1.2 s
-    later. All that is asked for goes into `asked`.
+    The demand is the quota's rate times `demand_factor` between 5 and 16 s, and half
+    the rate otherwise. `restarts` hosts restart at random times. The first `lost` hosts
+    get no requests. The first `cut` hosts lose contact from 6 to 14 s and notice it
+    after 1.2 s. Times and costs of all requests are appended to `asked`.
     """
     rng = random.Random(seed)
-    hosts = Hosts(count, rng, keeper)
+    hosts = Hosts(count, rng, owner)
     if count > 7:
-        # Few hosts know a workspace from its requests soon.
+        # With many hosts, most get the workspace's first request late.
         hosts.watch()
     events: list[tuple[float, int, str, int]] = []
     for host in range(count):
@@ -124,72 +124,72 @@
         now, order, kind, host = heapq.heappop(events)
         hosts.now = now
         hosts.cut = set(range(cut)) if 6.0 <= now < 14.0 else set()
-        hosts.alone = set(range(cut)) if 7.2 <= now < 14.0 else set()
+        hosts.isolated = set(range(cut)) if 7.2 <= now < 14.0 else set()
         if kind == "exchange":
             hosts.exchange(host)
-            # A wait of 0.2 s for news, and the way there and back.
+            # A long poll of 0.2 s plus the round trip.
             due = now + 0.25 * rng.uniform(0.9, 1.3)
             heapq.heappush(events, (due, order, kind, host))
         elif kind == "restart":
             hosts.restart(host)
         else:
             cost = rng.choice((700, 2_400, 9_000, 20_000))
-            share = times if 5 <= now < 16 else 0.5
+            share = demand_factor if 5 <= now < 16 else 0.5
             if asked is not None:
                 asked.append((now, cost))
-            if hosts.admit(rng.randrange(gone, count), cost):
+            if hosts.admit(rng.randrange(lost, count), cost):
                 admitted.append((now, cost))
             pause = rng.expovariate(share * QUOTA.rate / 8_025)
             heapq.heappush(events, (now + pause, order, kind, 0))
     return admitted
 
 
-def most_in_a_window(admitted: list) -> float:
-    """Return the highest cost of any window."""
-    most = total = 0.0
+def max_in_a_window(admitted: list) -> float:
+    """Return the highest total cost of any window."""
+    maximum = total = 0.0
     first = 0
     for now, cost in admitted:
         total += cost
         while admitted[first][0] < now - WINDOW:
             total -= admitted[first][1]
             first += 1
-        most = max(most, total)
-    return most
+        maximum = max(maximum, total)
+    return maximum
 
 
 @pytest.mark.parametrize("seed", range(12))
-@pytest.mark.parametrize("times", [2.0, 4.0, 8.0])
+@pytest.mark.parametrize("demand_factor", [2.0, 4.0, 8.0])
 @pytest.mark.parametrize("restarts", [0, 3, 7])
-@keepers
-def test_no_window_has_more_than_is_allowed(seed, times, restarts, keeper):
-    most = most_in_a_window(play(seed, times, restarts, keeper=keeper))
-    assert most <= ALLOWED
+@with_owners
+def test_no_window_exceeds_the_quota(seed, demand_factor, restarts, owner):
+    maximum = max_in_a_window(play(seed, demand_factor, restarts, owner=owner))
+    assert maximum <= ALLOWED
 
 
 def play_restart(
-    seed: int, times: float, count: int = 7, keeper: int | None = None
+    seed: int, demand_factor: float, count: int = 7, owner: int | None = None
 ) -> tuple[list, float]:
-    """Return what is admitted around a restart of all hosts, and what was asked.
+    """Return the admitted requests, and the cost requested right after a restart.
 
-    The hosts are down between 12 and 13 s, and all is asked for at the same rate.
+    All hosts are down between 12 and 13 s. The demand is constant otherwise.
     """
     rng = random.Random(seed)
-    hosts = Hosts(count, rng, keeper)
-    dues = [rng.random() * 0.25 for _ in range(count)]
+    hosts = Hosts(count, rng, owner)
+    exchange_times = [rng.random() * 0.25 for _ in range(count)]
     admitted = []
     asked_after = 0.0
     while hosts.now < 20.0:
-        pause = rng.expovariate(times * QUOTA.rate / 8_025)
+        pause = rng.expovariate(demand_factor * QUOTA.rate / 8_025)
         is_before = hosts.now < 12.0
         hosts.now += pause
         if is_before and hosts.now >= 12.0:
             hosts.now = 13.0
             hosts.restart_all()
-            dues = [13.0 + rng.random() * 0.25 for _ in range(count)]
-        for host, due in enumerate(dues):
+            exchange_times = [13.0 + rng.random() * 0.25 for _ in range(count)]
+        for host, due in enumerate(exchange_times):
             if due <= hosts.now:
                 hosts.exchange(host)
-                dues[host] = hosts.now + 0.25 * rng.uniform(0.9, 1.3)
+                exchange_times[host] = hosts.now + 0.25 * rng.uniform(0.9, 1.3)
         cost = rng.choice((700, 2_400, 9_000, 20_000))
         if 13.0 <= hosts.now < 15.0:
             asked_after += cost
@@ -199,76 +199,78 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-@pytest.mark.parametrize("times", [2.0, 8.0])
-@keepers
-def test_restart_of_all_hosts_keeps_the_windows(seed, times, keeper):
-    admitted, _ = play_restart(seed, times, keeper=keeper)
-    assert most_in_a_window(admitted) <= ALLOWED
+@pytest.mark.parametrize("demand_factor", [2.0, 8.0])
+@with_owners
+def test_no_window_exceeds_the_quota_when_all_hosts_restart(seed, demand_factor, owner):
+    admitted, _ = play_restart(seed, demand_factor, owner=owner)
+    assert max_in_a_window(admitted) <= ALLOWED
 
 
 @pytest.mark.parametrize("seed", range(12))
-@keepers
-def test_most_is_admitted_right_after_all_hosts_have_restarted(seed, keeper):
-    """Half of the rate is asked for; a part of it comes in bursts."""
-    admitted, asked = play_restart(seed, 0.5, keeper=keeper)
-    given = sum(cost for now, cost in admitted if 13.0 <= now < 15.0)
-    assert given >= 0.8 * asked
+@with_owners
+def test_most_requests_are_admitted_after_all_hosts_restart(seed, owner):
+    """The demand is half of the quota's rate, partly in bursts."""
+    admitted, asked = play_restart(seed, 0.5, owner=owner)
+    admitted_cost = sum(cost for now, cost in admitted if 13.0 <= now < 15.0)
+    assert admitted_cost >= 0.8 * asked
 
 
 @pytest.mark.parametrize("seed", range(12))
-@pytest.mark.parametrize("times", [2.0, 8.0])
+@pytest.mark.parametrize("demand_factor", [2.0, 8.0])
 @pytest.mark.parametrize("cut", [1, 2])
-@keepers
-def test_hosts_without_contact_keep_the_windows(seed, times, cut, keeper):
-    assert most_in_a_window(play(seed, times, cut=cut, keeper=keeper)) <= ALLOWED
+@with_owners
+def test_no_window_exceeds_the_quota_with_isolated_hosts(
+    seed, demand_factor, cut, owner
+):
+    assert max_in_a_window(play(seed, demand_factor, cut=cut, owner=owner)) <= ALLOWED
 
 
 @pytest.mark.parametrize("seed", range(6))
-@pytest.mark.parametrize("times", [1.5, 2.5])
-@keepers
-def test_many_hosts_keep_the_windows(seed, times, keeper):
-    assert most_in_a_window(play(seed, times, count=64, keeper=keeper)) <= ALLOWED
+@pytest.mark.parametrize("demand_factor", [1.5, 2.5])
+@with_owners
+def test_no_window_exceeds_the_quota_with_many_hosts(seed, demand_factor, owner):
+    assert max_in_a_window(play(seed, demand_factor, count=64, owner=owner)) <= ALLOWED
 
 
 @pytest.mark.parametrize("seed", range(6))
-@pytest.mark.parametrize("times", [1.5, 2.5, 4.0, 8.0])
+@pytest.mark.parametrize("demand_factor", [1.5, 2.5, 4.0, 8.0])
 @pytest.mark.parametrize("count", [64, 191])
-def test_windows_are_kept_when_demand_jumps_at_many_hosts(seed, times, count):
-    assert most_in_a_window(play(seed, times, count=count, keeper=3)) <= ALLOWED
+def test_no_window_exceeds_the_quota_when_demand_jumps(seed, demand_factor, count):
+    assert max_in_a_window(play(seed, demand_factor, count=count, owner=3)) <= ALLOWED
 
 
 @pytest.mark.parametrize("seed", range(6))
 @pytest.mark.parametrize("count", [64, 191])
-def test_many_hosts_give_out_what_is_left(seed, count):
-    """By equal parts, 64 hosts gave 4 in 5 of what was asked at half of the quota."""
+def test_many_hosts_grant_the_remaining_quota(seed, count):
+    """With equal shares, 64 hosts admitted only 4 in 5 requests at half the quota."""
     asked = []
-    admitted = play(seed, 0.5, count=count, keeper=3, asked=asked)
-    given = sum(cost for now, cost in admitted if now >= 7)
-    assert given >= 0.95 * sum(cost for now, cost in asked if now >= 7)
-    hot = play(seed, 2.0, count=count, keeper=3)
-    assert sum(cost for now, cost in hot if 7 <= now < 15) >= 0.9 * QUOTA.rate * 8
+    admitted = play(seed, 0.5, count=count, owner=3, asked=asked)
+    admitted_cost = sum(cost for now, cost in admitted if now >= 7)
+    assert admitted_cost >= 0.95 * sum(cost for now, cost in asked if now >= 7)
+    busy = play(seed, 2.0, count=count, owner=3)
+    assert sum(cost for now, cost in busy if 7 <= now < 15) >= 0.9 * QUOTA.rate * 8
 
 
-def test_many_hosts_admit_what_is_asked_for():
-    """Half of the quota is asked for, a few requests a second at each host."""
+def test_many_hosts_admit_most_demand_without_grants():
+    """The demand is half of the quota, a few requests a second at each host."""
     runs = [play(seed, 0.5, count=64) for seed in range(12)]
-    given = sum(cost for run in runs for now, cost in run if 7 <= now < 15)
-    # Of what is asked for; some requests are larger than all hosts' usual parts.
-    assert given / len(runs) >= 0.75 * 0.5 * QUOTA.rate * 8
+    admitted_cost = sum(cost for run in runs for now, cost in run if 7 <= now < 15)
+    # Not all of the demand, as some requests exceed all hosts' usual shares.
+    assert admitted_cost / len(runs) >= 0.75 * 0.5 * QUOTA.rate * 8
 
 
-@pytest.mark.parametrize("gone", [0, 2, 3])
-@keepers
-def test_parts_of_hosts_that_are_gone_are_given_out(gone, keeper):
-    """Hosts count for some seconds after they have ended, and get no requests."""
-    runs = [play(seed, 4.0, gone=gone, keeper=keeper) for seed in range(12)]
-    given = sum(cost for run in runs for now, cost in run if 7 <= now < 15)
-    assert given / len(runs) >= 0.9 * QUOTA.rate * 8
+@pytest.mark.parametrize("lost", [0, 2, 3])
+@with_owners
+def test_shares_of_lost_hosts_are_used(lost, owner):
+    """Lost hosts still count for some seconds, but get no requests."""
+    runs = [play(seed, 4.0, lost=lost, owner=owner) for seed in range(12)]
+    admitted_cost = sum(cost for run in runs for now, cost in run if 7 <= now < 15)
+    assert admitted_cost / len(runs) >= 0.9 * QUOTA.rate * 8
 
 
 @pytest.mark.parametrize("seed", range(4))
-@keepers
-def test_hot_workspace_gets_what_it_may(seed, keeper):
-    admitted = play(seed, 4.0, 0, keeper=keeper)
-    hot = sum(cost for now, cost in admitted if 7 <= now < 15)
-    assert hot >= 0.9 * QUOTA.rate * 8
+@with_owners
+def test_busy_workspace_gets_its_quota(seed, owner):
+    admitted = play(seed, 4.0, 0, owner=owner)
+    busy = sum(cost for now, cost in admitted if 7 <= now < 15)
+    assert busy >= 0.9 * QUOTA.rate * 8
--- a/tests/relaying/test_relay.py
+++ b/tests/relaying/test_relay.py
@@ -1,4 +1,4 @@
-"""What callers get, by what upstreams do with their requests."""
+"""Answers that callers get, depending on how upstreams handle their requests."""
 
 import json
 
@@ -15,27 +15,27 @@
 
 
 def head(status: int, *headers: tuple[bytes, bytes], attempt=b"id-1") -> AnswerHead:
-    """Return an upstream's head that echoes the request's id."""
+    """Return an upstream's answer head that echoes the request's id."""
     return AnswerHead(status, ((b"pepperstep-attempt-id", attempt), *headers))
 
 
 def answers(text: bytes, **facts):
-    """Return the script of an upstream that answers `text`."""
+    """Return the script of an upstream that answers with `text`."""
     return lambda sent: Reply(head(200), (text,), **facts)
 
 
 def refuses(sent) -> Reply:
-    """Answer that the request hasn't run."""
+    """Refuse a request, stating that it hasn't run."""
     return Reply(head(503, (b"pepperstep-not-executed", b"1")))
 
 
 def breaks(sent) -> Reply:
-    """Break off before the answer."""
+    """Break the connection before the answer."""
     return Reply()
 
 
 async def serve(world, service: str, *scripts) -> None:
-    """Let upstreams of a service, one for each script, be known everywhere."""
+    """Announce one upstream of a service for each script, and wait until all know."""
     for number, script in enumerate(scripts):
         name = f"{service}{number}"
         world.connector.scripts[f"{name}:80"] = script
@@ -43,7 +43,7 @@
     await trio.sleep(1.0)
 
 
-async def test_request_reaches_its_upstream_with_what_the_system_says(autojump_clock):
+async def test_forwarded_request_has_the_systems_headers(autojump_clock):
     async with open_world() as world:
         await serve(world, "plain", answers(b"chart"))
         forged = (b"pepperstep-tenant", b"other"), (b"kv-from", b"x:1/2")
@@ -67,7 +67,7 @@
         assert world.connector.sent == []
 
 
-async def test_host_without_routes_refuses_for_now(autojump_clock):
+async def test_host_without_routes_refuses_with_a_retry_after(autojump_clock):
     async with open_world() as world:
         entry = await world.start_entry("e9:1", ("nobody:1",))
         assert not entry.is_ready
@@ -83,7 +83,7 @@
         for _ in range(20):
             exchange = await world.ask("e0:1", request("/safe/1"))
             statuses.add(exchange.status)
-        # With two attempts, a request may also meet both that refuse.
+        # Both of a request's two attempts may meet an upstream that refuses.
         assert statuses <= {200, 503} and 200 in statuses
 
 
@@ -95,7 +95,7 @@
         assert b"retry-after" in dict(exchange.answer_head.headers)
 
 
-async def test_broken_once_only_request_is_never_said_not_to_have_run(autojump_clock):
+async def test_broken_once_only_request_is_never_reported_as_not_run(autojump_clock):
     async with open_world() as world:
         await serve(world, "plain", breaks, answers(b"chart"))
         for _ in range(10):
@@ -125,7 +125,7 @@
             assert exchange.status == 200
 
 
-async def test_upstreams_own_failure_reaches_the_caller(autojump_clock):
+async def test_upstreams_error_answer_reaches_the_caller(autojump_clock):
     async with open_world() as world:
         seal = (b"pepperstep-replica-seal", b"s")
         await serve(world, "plain", lambda sent: Reply(head(500, seal), (b"oops",)))
@@ -135,10 +135,8 @@
 
 
 @pytest.mark.parametrize("path", ["/safe/1", "/unsafe/1", "/stream/1"])
-async def test_request_that_an_upstream_began_and_failed_is_in_the_usage(
-    autojump_clock, path
-):
-    """It has run, once to the accounting, whatever it was tried again."""
+async def test_request_that_failed_at_an_upstream_counts_as_usage(autojump_clock, path):
+    """A request counts once, however often it's retried."""
     async with open_world() as world:
         for service in ("plain", "model"):
             fails = [lambda sent: Reply(head(500), (b"oops",))] * 2
@@ -149,8 +147,8 @@
 
 
 @pytest.mark.parametrize("path", ["/safe/1", "/unsafe/1", "/stream/1"])
-async def test_request_whose_answer_was_lost_is_in_the_usage(autojump_clock, path):
-    """An upstream has got it, and most that are lost on the way back have run."""
+async def test_request_whose_answer_was_lost_counts_as_usage(autojump_clock, path):
+    """The upstream got the request, and most requests with lost answers have run."""
     async with open_world() as world:
         for service in ("plain", "model"):
             await serve(world, service, breaks, breaks)
@@ -159,7 +157,7 @@
         assert count_runs(world) == 1
 
 
-async def test_request_that_no_upstream_began_is_not_in_the_usage(autojump_clock):
+async def test_request_that_no_upstream_started_does_not_count_as_usage(autojump_clock):
     async with open_world() as world:
         await serve(world, "plain", refuses)
         assert (await world.ask("e0:1", request("/safe/1"))).status == 503
@@ -168,14 +166,14 @@
 
 
 def count_runs(world) -> int:
-    """Return the runs of the latest windows, as a control host knows them."""
+    """Return the runs that a control host counts in the latest windows."""
     entries = world.controls["c0:1"].entries
     newest = int(world.timers["c0:1"].wall() // 5)
     windows = (entries.counts_of(newest - age) for age in range(4))
     return sum(sum(counts.values()) for counts in windows)
 
 
-async def test_cut_answer_is_not_passed_on(autojump_clock):
+async def test_truncated_answer_is_not_forwarded(autojump_clock):
     async with open_world() as world:
         await serve(world, "plain", lambda sent: Reply(head(200), (b"ch",), True))
         exchange = await world.ask("e0:1", request("/unsafe/1"))
@@ -197,7 +195,7 @@
         assert exchange.status == 502
 
 
-async def test_stream_passes_events_as_they_come(autojump_clock):
+async def test_stream_events_are_forwarded_as_they_arrive(autojump_clock):
     async with open_world() as world:
         await serve(world, "model", lambda s: Reply(head(200), EVENTS, pause=0.1))
         exchange = await world.ask("e0:1", request("/stream/1"))
@@ -212,7 +210,7 @@
         assert exchange.is_aborted and not exchange.is_complete
 
 
-async def test_broken_stream_goes_on_after_the_last_whole_event(autojump_clock):
+async def test_broken_stream_resumes_after_the_last_complete_event(autojump_clock):
     def broken_once(sent) -> Reply:
         last = dict(sent.head.headers).get(b"last-event-id")
         if last is None:
@@ -227,7 +225,7 @@
         assert exchange.is_complete
 
 
-async def test_callers_leave_ends_the_upstreams_work(autojump_clock):
+async def test_disconnected_caller_ends_the_upstreams_work(autojump_clock):
     async with open_world() as world:
         await serve(world, "model", lambda s: Reply(head(200), EVENTS, pause=0.5))
         async with trio.open_nursery() as nursery:
@@ -245,7 +243,7 @@
         assert world.connector.closed == 1
 
 
-async def test_silent_upstream_ends_at_the_routes_time(autojump_clock):
+async def test_silent_upstream_fails_at_the_routes_timeout(autojump_clock):
     async with open_world() as world:
         await serve(world, "plain", answers(b"chart", delay=60.0))
         start = trio.current_time()
@@ -254,7 +252,7 @@
         assert 1.4 < trio.current_time() - start <= 1.5
 
 
-async def test_retries_stop_with_their_budget(autojump_clock):
+async def test_retries_stop_when_their_budget_is_exhausted(autojump_clock):
     async with open_world() as world:
         await serve(world, "plain", breaks, breaks)
         for _ in range(400):
@@ -265,7 +263,7 @@
         assert 0 < retries <= 0.2 * 400 + 25
 
 
-async def test_quota_binds_all_hosts_together(autojump_clock):
+async def test_quota_holds_across_all_hosts(autojump_clock):
     quota = {"rate_per_s": 10, "burst": 10}
     tenants = [{"name": "desk", "api_keys": ["key-of-desk"], **quota}]
     async with open_world(entries=3) as world:
@@ -279,7 +277,7 @@
             served += exchange.status == 200
             assert exchange.status in (200, 429)
             await trio.sleep(0.02)
-        # 12 s at 10 a second and a burst of 10, give or take what is late.
+        # 12 s at 10 a second plus a burst of 10, with a margin for late counts.
         assert 100 <= served <= 150
 
 
@@ -304,7 +302,7 @@
     assert refused.workspace == "desk"
 
 
-async def test_quota_of_a_request_that_has_not_run_is_left_to_others(autojump_clock):
+async def test_quota_of_a_request_that_has_not_run_is_refunded(autojump_clock):
     quota = {"rate_per_s": 10, "burst": 100, "unit": "token_stream"}
     tenants = [{"name": "desk", "api_keys": ["key-of-desk"], **quota}]
     tokens = (b"pepperstep-token-counts", b"40,10")
@@ -330,7 +328,7 @@
         assert exchange.status == 200
 
 
-async def test_leaving_upstream_gets_nothing_new(autojump_clock):
+async def test_leaving_upstream_gets_no_new_requests(autojump_clock):
     async with open_world() as world:
         await serve(world, "plain", answers(b"a"), answers(b"b"))
         await world.announce("c2:1", "plain0", "plain", sequence=2, is_leaving=True)
@@ -347,7 +345,7 @@
         assert json.loads(data)["version"] == 4
 
 
-async def test_request_waits_for_routes_that_are_on_their_way(autojump_clock):
+async def test_request_waits_for_routes_that_arrive_soon(autojump_clock):
     async with open_world() as world:
         await serve(world, "plain", answers(b"chart"))
         world.kill("e0:1")
@@ -386,7 +384,7 @@
         await world.put(2, document(2, tenants=tenants))
         await trio.sleep(2.0)
         statuses = []
-        # Half of the rate, but eight at a time and all at one host.
+        # Half of the quota's rate, but in bursts of eight at a single host.
         for turn in range(20):
             for _ in range(8):
                 exchange = await world.ask(f"e{turn % 3}:1", request("/safe/1"))
@@ -396,7 +394,9 @@
 
 
 @pytest.mark.parametrize("status", [200, 504])
-async def test_answer_that_comes_just_in_time_is_sent_whole(autojump_clock, status):
+async def test_answer_just_before_the_deadline_is_sent_completely(
+    autojump_clock, status
+):
     class SlowExchange(FakeExchange):
         async def answer(self, answer) -> None:
             self.has_begun = True
@@ -413,12 +413,12 @@
 
 
 @pytest.mark.parametrize("status", [500, 504, 400, 302])
-async def test_failure_does_not_go_on_with_a_broken_stream(autojump_clock, status):
-    """The caller got a stream's first events and its end, with the rest missing.
+async def test_error_answer_does_not_continue_a_broken_stream(autojump_clock, status):
+    """Guards against a truncated stream that looks complete to its caller.
 
-    One upstream crashed in the middle of the stream, and the next one, which was to
-    go on behind the last event, answered 500 within a millisecond. Its answer was
-    passed on as the rest of the stream, and the stream was ended as complete.
+    An upstream crashes in the middle of a stream, and the upstream that should resume
+    the stream answers with an error. The error's body must not be forwarded as the
+    rest of the stream.
     """
 
     def broken_then_failing(sent) -> Reply:
@@ -433,7 +433,7 @@
         assert exchange.is_aborted and not exchange.is_complete
 
 
-async def test_large_answer_that_breaks_off_is_not_begun_again(autojump_clock):
+async def test_large_answer_that_breaks_off_is_not_restarted(autojump_clock):
     piece = 64 * 1024 * b"x"
 
     def breaks_off(sent) -> Reply:
--- a/tests/relaying/test_retry_after.py
+++ b/tests/relaying/test_retry_after.py
@@ -1,4 +1,4 @@
-"""Upstreams that turn requests away and say for how long they want none."""
+"""Upstreams that refuse requests with a retry-after header."""
 
 from dataclasses import dataclass, field
 
@@ -11,19 +11,19 @@
 from tests.relaying.upstreams import serving
 from tests.relaying.world import request
 
-# Time after an answer in which a request may still follow, in seconds.
-NOTICE = 0.5
-# Requests that may reach the upstream from one host after it, until the time is over.
-MOST = 2
+# Time after a refusal during which requests may still arrive.
+SETTLING_SECONDS = 0.5
+# Requests from one host that may reach the upstream during the rest of its hold.
+MAX_EARLY_REQUESTS = 2
 
 
 @dataclass
 class Upstream:
-    """An upstream that turns all requests away while it `refuses`."""
+    """An upstream that refuses all requests while `refuses` is set."""
 
     refuses: bool = False
     retry_after: float = 3.0
-    # Whether its refusals state that the request hasn't run.
+    # Whether refusals state that the request hasn't run.
     says_not_run: bool = True
     # Times at which requests arrived.
     arrivals: list[float] = field(default_factory=list)
@@ -40,12 +40,12 @@
         return Reply(AnswerHead(503, tuple(headers)), (b"busy",))
 
     def between(self, begin: float, end: float) -> int:
-        """Return the requests that arrived between two times."""
+        """Return the number of requests that arrived between two times."""
         return sum(begin <= each < end for each in self.arrivals)
 
 
 async def ask(world, seconds: float, path: str = "/safe/1", pause: float = 0.05):
-    """Send requests to all entry hosts in turn, and return what callers got."""
+    """Send requests to all entry hosts in turn, and return the exchanges."""
     exchanges = []
     end = trio.current_time() + seconds
     while trio.current_time() < end:
@@ -62,7 +62,7 @@
 
 @pytest.mark.parametrize("says_not_run", [True, False])
 @pytest.mark.parametrize("path", ["/safe/1", "/unsafe/1", "/stream/1"])
-async def test_upstream_that_wants_nothing_for_a_while_gets_nothing(
+async def test_upstream_gets_no_requests_until_its_retry_after(
     autojump_clock, path, says_not_run
 ):
     refusing = Upstream(refuses=True, says_not_run=says_not_run)
@@ -70,22 +70,25 @@
         await ask(world, 9.0, path)
         assert refusing.arrivals
         for answered_at in refusing.arrivals:
-            begin, end = answered_at + NOTICE, answered_at + refusing.retry_after
-            assert refusing.between(begin, end) <= MOST
+            begin, end = (
+                answered_at + SETTLING_SECONDS,
+                answered_at + refusing.retry_after,
+            )
+            assert refusing.between(begin, end) <= MAX_EARLY_REQUESTS
 
 
-async def test_upstream_is_used_again_when_its_time_is_over(autojump_clock):
+async def test_upstream_is_used_again_after_its_retry_after(autojump_clock):
     refusing = Upstream(refuses=True, retry_after=2.0)
     async with serving([refusing, Upstream()], 1) as world:
         await ask(world, 1.0)
         assert refusing.arrivals
         refusing.refuses = False
-        over = refusing.arrivals[-1] + refusing.retry_after
-        await ask(world, over + 2.0 - trio.current_time())
-        assert refusing.between(over, over + 2.0) >= 10
+        hold_end = refusing.arrivals[-1] + refusing.retry_after
+        await ask(world, hold_end + 2.0 - trio.current_time())
+        assert refusing.between(hold_end, hold_end + 2.0) >= 10
 
 
-async def test_callers_are_told_when_the_first_upstream_takes_requests_again(
+async def test_callers_get_the_earliest_retry_after_of_all_upstreams(
     autojump_clock,
 ):
     early, late = Upstream(True, retry_after=1.0), Upstream(True, retry_after=1.8)
@@ -99,28 +102,28 @@
         assert wait <= float(headers[b"retry-after"]) <= wait + 0.1
 
 
-async def test_callers_are_refused_at_once_while_no_upstream_wants_anything(
+async def test_callers_are_refused_at_once_while_all_upstreams_are_held(
     autojump_clock,
 ):
     async with serving([Upstream(True), Upstream(True)], 1) as world:
         await ask(world, 0.5)
-        begun = trio.current_time()
+        started_at = trio.current_time()
         assert (await world.ask("e0:1", request("/safe/1"))).status == 503
-        assert trio.current_time() - begun <= 0.01
+        assert trio.current_time() - started_at <= 0.01
 
 
-async def test_request_that_was_turned_away_is_served_by_a_free_upstream(
+async def test_refused_request_is_served_by_a_free_upstream(
     autojump_clock,
 ):
-    """Most attempts would meet no free one by chance within the retry budget."""
+    """Without holds, the retry budget wouldn't suffice to reach a free upstream."""
     refusing = Upstream(refuses=True)
     async with serving([refusing, Upstream(), Upstream()], 5) as world:
-        got = statuses(await ask(world, 9.0, pause=0.03))
-        assert len(got) >= 250
-        assert set(got) == {200}
+        received_statuses = statuses(await ask(world, 9.0, pause=0.03))
+        assert len(received_statuses) >= 250
+        assert set(received_statuses) == {200}
 
 
-async def test_time_that_is_no_number_holds_nothing(autojump_clock):
+async def test_infinite_retry_after_is_ignored(autojump_clock):
     refusing = Upstream(refuses=True, retry_after=float("inf"))
     async with serving([refusing, Upstream()], 1) as world:
         await ask(world, 2.0)
@@ -130,7 +133,7 @@
         assert refusing.between(begin, begin + 5.0) > 0
 
 
-async def test_requests_for_a_version_that_is_left_alone_go_to_the_other(
+async def test_requests_for_a_held_version_go_to_the_other_version(
     autojump_clock,
 ):
     old, new = Upstream(), Upstream(refuses=True)
@@ -138,8 +141,8 @@
         await world.announce("c0:1", "plain1", "plain", sequence=2, software="v2")
         await trio.sleep(1.0)
         host = world.entries["e0:1"]
-        judged = VersionSplit(trio.current_time, lambda rollout: True)
-        judged.take(
+        versions = VersionSplit(trio.current_time, lambda rollout: True)
+        versions.take(
             Rollout(
                 service="plain",
                 to="v2",
@@ -152,7 +155,7 @@
                 state=RolloutState.RUNNING,
             )
         )
-        host._chooser._versions = judged
-        got = statuses(await ask(world, 9.0))
-        assert set(got) == {200}
+        host._chooser._versions = versions
+        received_statuses = statuses(await ask(world, 9.0))
+        assert set(received_statuses) == {200}
         assert new.arrivals
--- a/tests/relaying/test_retry_windows.py
+++ b/tests/relaying/test_retry_windows.py
@@ -1,4 +1,8 @@
-"""What all hosts together retry in any window, through troubles of hosts."""
+"""Retries that all hosts together send in any window, while hosts fail.
+
+Guards against hosts that use the retry allowance twice: after a restart, or because a
+partitioned group of hosts counts fewer hosts than share the allowance.
+"""
 
 import json
 import random
@@ -18,24 +22,24 @@
 BOUNDS = RelayBounds(retry_ratio=0.2, retry_window=10.0, retry_allowance=180.0)
 RULE = RetryRule(BOUNDS.retry_ratio, BOUNDS.retry_allowance, BOUNDS.retry_window)
 SEEDS = ("c0:1", "c1:1", "c2:1")
-# Requests a second: few, so that most of what may be sent is the allowance.
-RATE = 20.0
-ENTRIES = [5, 12, 55]
-# Longer than a window, and than hosts that are silent are counted.
+# Few requests a second, so that most of the permitted retries are the allowance.
+REQUESTS_PER_SECOND = 20.0
+ENTRY_COUNTS = [5, 12, 55]
+# Longer than a window, and than silent hosts are still counted.
 LONG_SECONDS = 30.0
 
 
 @dataclass
 class Service:
-    """Upstreams that turn all requests away, and what callers and hosts send there."""
+    """Upstreams that refuse all requests, with the times of requests and retries."""
 
-    # Times of callers' requests, and of arrivals beyond the first of each.
+    # Times of callers' requests, and of every arrival after a request's first.
     asked: list[float] = field(default_factory=list)
     repeats: list[float] = field(default_factory=list)
     _arrivals: Counter[bytes] = field(default_factory=Counter)
 
     def answer(self, sent: Sent) -> Reply:
-        """Turn a request away."""
+        """Refuse a request."""
         attempt = sent.head.first(b"pepperstep-attempt-id")
         self._arrivals[attempt] += 1
         if self._arrivals[attempt] > 1:
@@ -48,7 +52,7 @@
 
 
 class Callers:
-    """Callers that send requests to entry hosts drawn by lot."""
+    """Callers that send requests to random entry hosts."""
 
     def __init__(self, world, service: Service):
         self._world = world
@@ -62,7 +66,7 @@
                 if self._world.entries:
                     name = self._world.rng.choice(sorted(self._world.entries))
                     nursery.start_soon(self._ask, name)
-                await trio.sleep(self._world.rng.expovariate(RATE))
+                await trio.sleep(self._world.rng.expovariate(REQUESTS_PER_SECOND))
 
     async def _ask(self, name: str) -> None:
         self._sent += 1
@@ -83,7 +87,7 @@
 
 
 def routes(version: int) -> bytes:
-    """Return a document whose requests may be sent many times."""
+    """Return a document whose routes permit up to six attempts."""
     table = json.loads(document(version))
     for route in table["routes"]:
         route["max_attempts"] = 6
@@ -91,8 +95,8 @@
 
 
 @asynccontextmanager
-async def refusing(entries: int, controls: int = 3, seed: int = 0):
-    """Give a world whose upstreams turn all away, with its service, under load."""
+async def open_refusing_world(entries: int, controls: int = 3, seed: int = 0):
+    """Open a world under load whose upstreams refuse all requests."""
     losses = (controls - 1) // 2
     service = Service()
     async with open_world(controls, entries, seed, losses, BOUNDS) as world:
@@ -109,7 +113,7 @@
 
 
 async def restart_entry_hosts(world) -> None:
-    """Start all entry hosts anew, several times within a window."""
+    """Restart all entry hosts several times within a window."""
     for _ in range(3):
         names = sorted(world.entries)
         for name in names:
@@ -121,7 +125,7 @@
 
 
 async def start_entry_hosts_one_by_one(world) -> None:
-    """Let all entry hosts be gone for long, and come back one after the other."""
+    """Stop all entry hosts for a long time, then start them one by one."""
     names = sorted(world.entries)
     for name in names:
         world.kill(name)
@@ -132,7 +136,7 @@
 
 
 async def cut_in_unequal_parts(world) -> None:
-    """Cut a minority of the control hosts off, with a third of the entry hosts."""
+    """Isolate a minority of the control hosts with a third of the entry hosts."""
     minority = (len(world.controls) - 1) // 2
     cut_off = sorted(world.controls)[:minority] + sorted(world.entries)[::3]
     others = sorted({*world.controls, *world.entries} - set(cut_off))
@@ -143,7 +147,7 @@
 
 
 async def forget_entry_hosts(world) -> None:
-    """Start control hosts on empty disks, which then hear of one entry host only."""
+    """Restart control hosts with empty disks that hear from only one entry host."""
     first, *others = sorted(world.controls)
     world.cut_off(first, list(world.entries))
     for name in others:
@@ -153,8 +157,8 @@
     await trio.sleep(LONG_SECONDS)
 
 
-class Day:
-    """Troubles of one seed."""
+class FaultSchedule:
+    """Random faults of one seed."""
 
     def __init__(self, world, seed: int):
         self._world = world
@@ -164,11 +168,11 @@
         self._losses = (len(self._controls) - 1) // 2
 
     async def run(self, seconds: float) -> None:
-        """Make troubles one after the other and overlapping."""
+        """Inject faults that follow each other and overlap."""
         with trio.move_on_after(seconds):
             async with trio.open_nursery() as nursery:
                 while True:
-                    trouble = self._rng.choice(
+                    fault = self._rng.choice(
                         [
                             self._restart_entries,
                             self._restart_controls,
@@ -176,7 +180,7 @@
                             self._cut_entries,
                         ]
                     )
-                    nursery.start_soon(trouble)
+                    nursery.start_soon(fault)
                     await trio.sleep(self._rng.uniform(0.5, 6.0))
 
     async def _restart_entries(self) -> None:
@@ -203,7 +207,7 @@
             )
 
     async def _cut(self) -> None:
-        """Cut all hosts into two parts of drawn sizes."""
+        """Partition all hosts into two parts of random sizes."""
         everyone = [*self._controls, *self._names]
         share = self._rng.uniform(0.1, 0.9)
         part = {name for name in everyone if self._rng.random() < share}
@@ -213,41 +217,41 @@
         self._world.network.heal()
 
     async def _cut_entries(self) -> None:
-        """Cut some entry hosts off from all control hosts."""
+        """Isolate some entry hosts from all control hosts."""
         for name in self._rng.sample(self._names, max(1, len(self._names) // 3)):
             self._world.cut_off(name, self._controls)
         await trio.sleep(self._rng.uniform(1.0, 25.0))
         self._world.network.heal()
 
 
-def drawn_by(seed: int):
-    """Return the troubles of a seed."""
+def random_faults(seed: int):
+    """Return a function that injects the faults of a seed."""
 
-    async def make_troubles(world) -> None:
-        await Day(world, seed).run(60.0)
+    async def inject_faults(world) -> None:
+        await FaultSchedule(world, seed).run(60.0)
 
-    make_troubles.__name__ = f"seed {seed}"
-    return make_troubles
+    inject_faults.__name__ = f"seed {seed}"
+    return inject_faults
 
 
 @pytest.mark.parametrize(
-    ("trouble", "entries", "controls"),
+    ("fault", "entries", "controls"),
     [
-        *((restart_entry_hosts, entries, 3) for entries in ENTRIES),
-        *((start_entry_hosts_one_by_one, entries, 3) for entries in ENTRIES),
-        *((cut_in_unequal_parts, entries, 5) for entries in ENTRIES),
-        *((forget_entry_hosts, entries, 3) for entries in ENTRIES[:2]),
-        *((drawn_by(seed), 5, 3) for seed in range(3)),
-        *((drawn_by(seed), 12, 5) for seed in range(3)),
-        (drawn_by(0), 55, 5),
+        *((restart_entry_hosts, entries, 3) for entries in ENTRY_COUNTS),
+        *((start_entry_hosts_one_by_one, entries, 3) for entries in ENTRY_COUNTS),
+        *((cut_in_unequal_parts, entries, 5) for entries in ENTRY_COUNTS),
+        *((forget_entry_hosts, entries, 3) for entries in ENTRY_COUNTS[:2]),
+        *((random_faults(seed), 5, 3) for seed in range(3)),
+        *((random_faults(seed), 12, 5) for seed in range(3)),
+        (random_faults(0), 55, 5),
     ],
     ids=lambda value: getattr(value, "__name__", None),
 )
-async def test_hosts_that_forget_or_are_cut_off_send_no_allowance_twice(
-    autojump_clock, trouble, entries, controls
+async def test_no_window_exceeds_the_retry_budget_during_faults(
+    autojump_clock, fault, entries, controls
 ):
-    async with refusing(entries, controls) as (world, service):
+    async with open_refusing_world(entries, controls) as (world, service):
         await trio.sleep(2 * BOUNDS.retry_window)
         assert service.repeats
-        await trouble(world)
+        await fault(world)
         await trio.sleep(2 * BOUNDS.retry_window)
--- a/tests/relaying/test_shared_load.py
+++ b/tests/relaying/test_shared_load.py
@@ -1,4 +1,4 @@
-"""Entry hosts that tell each other what upstreams have yet to read."""
+"""Exchange of unread tokens at upstreams between entry hosts."""
 
 import random
 from contextlib import asynccontextmanager
@@ -20,10 +20,10 @@
 from tests.relaying.world import open_world, request
 
 OK = AnswerHead(200, ((b"pepperstep-attempt-id", b"id-1"),))
-KEEPERS = 16
+OWNER_COUNT = 16
 UPSTREAMS = ("u1", "u2", "u3")
 SERVICE = Service("model", "", 0)
-# The largest prompts of the users' sheet, and the mean of the small ones.
+# Tokens of the largest expected prompts, and the mean of the small ones.
 LARGE = 54_600
 SMALL = 1_800
 
@@ -40,7 +40,7 @@
         for upstream in UPSTREAMS:
             self.book.note(Announcement(upstream, "model", f"{upstream}:80", "z1"))
         prompts = PrefillTracker(trio.current_time)
-        self.keepers = KeyOwners(name, peers, timers, lambda: names[:KEEPERS])
+        self.keepers = KeyOwners(name, peers, timers, lambda: names[:OWNER_COUNT])
         self.load = SharedLoad(
             self.keepers, peers, timers, lambda key: self.chooser.work_at(key)
         )
@@ -58,21 +58,21 @@
         nursery.start_soon(self.load.run)
 
     async def send(self, tokens: int):
-        """Place a prompt of its own tokens and return the choice."""
+        """Place a prompt that shares no prefix and return the choice."""
         facts = RequestFacts(b"", prompt_parts=(PromptPart("own", tokens),))
         choice = await self.chooser.choose(SERVICE, facts, ())
         self.chooser.begin(choice, facts)
         return choice
 
     async def others_at(self, choice) -> int:
-        """Return other hosts' unread tokens at a chosen upstream."""
+        """Return other hosts' unread tokens at the chosen upstream."""
         key = choice.upstream.key
         return (await self.load.ask([key]))[key].unread
 
 
 @asynccontextmanager
 async def open_hosts(count: int):
-    """Give entry hosts with three upstreams, and their network."""
+    """Open entry hosts with three upstreams, and their network."""
     names = [f"e{number}" for number in range(1, count + 1)]
     network = FakeNetwork(random.Random(0))
     async with trio.open_nursery() as nursery:
@@ -85,12 +85,12 @@
 
 @pytest.fixture
 async def hosts(autojump_clock):
-    """Give three entry hosts with three upstreams."""
+    """Return three entry hosts with three upstreams."""
     async with open_hosts(3) as (hosts, _):
         yield hosts
 
 
-async def test_small_prompts_avoid_what_reads_another_hosts_large_one(hosts):
+async def test_small_prompts_avoid_an_engine_busy_with_another_hosts_prompt(hosts):
     one, two, three = hosts
     large = (await one.send(LARGE)).upstream.id
     await trio.sleep(0.05)
@@ -101,14 +101,14 @@
             host.chooser.record_prefill(choice, 0.1)
 
 
-async def test_two_hosts_place_large_prompts_apart(hosts):
+async def test_two_hosts_place_large_prompts_at_different_upstreams(hosts):
     one, two, _ = hosts
     first = (await one.send(LARGE)).upstream.id
     await trio.sleep(0.05)
     assert (await two.send(LARGE)).upstream.id != first
 
 
-async def test_what_was_read_counts_no_more(hosts):
+async def test_prefilled_tokens_no_longer_count(hosts):
     one, two, _ = hosts
     choice = await one.send(LARGE)
     await trio.sleep(0.05)
@@ -118,7 +118,7 @@
     assert await two.others_at(choice) == 0
 
 
-async def test_prediction_takes_in_what_others_have_sent(hosts):
+async def test_prediction_includes_other_hosts_work(hosts):
     one, two, _ = hosts
     for _ in UPSTREAMS:
         await one.send(LARGE)
@@ -127,7 +127,7 @@
     assert (await two.send(SMALL)).first_token >= before
 
 
-async def test_host_that_died_is_believed_for_as_long_as_a_prompt_is_read(hosts):
+async def test_reports_of_a_dead_host_expire(hosts):
     one, two, _ = hosts
     choice = await one.send(LARGE)
     await trio.sleep(0.05)
@@ -136,40 +136,40 @@
     assert await two.others_at(choice) == 0
 
 
-async def test_small_changes_are_not_told(hosts):
+async def test_small_changes_are_not_reported(hosts):
     one, two, _ = hosts
     choice = await one.send(REPORT_THRESHOLD_TOKENS - 1)
     await trio.sleep(0.1)
     assert await two.others_at(choice) == 0
 
 
-async def test_notice_that_was_overtaken_is_left_out(hosts):
+async def test_overtaken_notice_is_ignored(hosts):
     _, two, _ = hosts
 
     async def notice(number: int, tokens: int) -> None:
         message = pb.WorkNotice(upstream="u1", unread=tokens, number=number)
         await two.load._on_notice(message, "e9")
 
-    async def kept() -> int:
+    async def reported_unread() -> int:
         message = pb.WorkNotice(upstream="u1", number=1)
         return (await two.load._on_notice(message, "e8")).unread
 
     await notice(2, 100)
     await notice(1, 50_000)
-    assert await kept() == 100
-    # A host that has started again begins anew.
+    assert await reported_unread() == 100
+    # A restarted host numbers its notices from 1 again.
     await trio.sleep(1.5)
     await notice(1, 300)
-    assert await kept() == 300
+    assert await reported_unread() == 300
 
 
-async def test_messages_of_a_request_do_not_grow_with_the_number_of_hosts(
+async def test_messages_per_request_are_independent_of_the_number_of_hosts(
     autojump_clock,
 ):
-    """With 16 peers that are told each change, it was 64 at 70 hosts and more."""
+    """Reporting each change to 16 peers took 64 messages with 70 hosts and more."""
     for count in (7, 70, 200):
         async with open_hosts(count) as (hosts, network):
-            # Until all have greeted the keepers.
+            # Wait until all hosts have connected to the owners.
             await trio.sleep(4.0)
             network.sent.clear()
             for host in hosts[:7]:
@@ -181,35 +181,35 @@
             assert sent <= 7 * 2 * 5
 
 
-async def test_a_keeper_that_is_silent_holds_requests_up_for_a_moment_only(
+async def test_silent_owner_delays_requests_only_briefly(
     autojump_clock,
 ):
     async with open_hosts(3) as (hosts, network):
         host = hosts[1]
-        keeper = host.keepers.owner_of(UPSTREAMS[0])
-        assert keeper != host.name
-        network.isolate(keeper)
-        begun = trio.current_time()
+        owner = host.keepers.owner_of(UPSTREAMS[0])
+        assert owner != host.name
+        network.isolate(owner)
+        started_at = trio.current_time()
         assert await host.send(SMALL) is not None
-        assert trio.current_time() - begun <= 0.05
-        begun = trio.current_time()
+        assert trio.current_time() - started_at <= 0.05
+        started_at = trio.current_time()
         for _ in range(10):
             await host.send(SMALL)
-        assert trio.current_time() - begun <= 0.05
+        assert trio.current_time() - started_at <= 0.05
 
 
-async def test_keepers_are_connected_to_before_the_first_request(autojump_clock):
+async def test_owners_are_connected_to_before_the_first_request(autojump_clock):
     async with open_hosts(40) as (hosts, network):
         await trio.sleep(3.0)
-        # Each host has greeted all keepers but itself.
-        assert network.sent["WorkNotice"] == 40 * KEEPERS - KEEPERS
+        # Each host has connected to all owners except itself.
+        assert network.sent["WorkNotice"] == 40 * OWNER_COUNT - OWNER_COUNT
         network.sent.clear()
         await trio.sleep(5.0)
         assert network.sent["WorkNotice"] == 0
 
 
-async def test_keepers_that_change_each_moment_are_not_all_connected_to(autojump_clock):
-    """As while hosts start together; each connection stays for a while."""
+async def test_owners_that_keep_changing_are_not_connected_to(autojump_clock):
+    """The set of owners changes while hosts start together, and connections linger."""
     async with open_hosts(40) as (hosts, network):
         names = hosts[0].names
         for _ in range(10):
@@ -217,11 +217,11 @@
             names.append(names.pop(0))
         assert network.sent["WorkNotice"] == 0
         await trio.sleep(4.0)
-        assert network.sent["WorkNotice"] == 40 * KEEPERS - KEEPERS
+        assert network.sent["WorkNotice"] == 40 * OWNER_COUNT - OWNER_COUNT
 
 
-async def test_keeper_forgets_what_is_over(hosts):
-    """Notices of an upstream may arrive after its end, so its end isn't enough."""
+async def test_owner_drops_expired_reports(hosts):
+    """Notices of an upstream may arrive after its end, so reports must expire."""
     _, two, _ = hosts
     for number in range(100):
         notice = pb.WorkNotice(upstream=f"u{number}", unread=100, number=number + 1)
@@ -231,7 +231,7 @@
     assert not two.load._reports
 
 
-async def test_an_upstream_that_left_meanwhile_gets_nothing(autojump_clock):
+async def test_upstream_that_leaves_during_the_query_is_not_chosen(autojump_clock):
     async with open_hosts(3) as (hosts, network):
         network.min_delay = network.max_delay = 0.01
         host = hosts[1]
@@ -252,21 +252,21 @@
         assert chosen[0].upstream.id == UPSTREAMS[2]
 
 
-async def test_the_next_keeper_is_told_when_one_is_lost(autojump_clock):
+async def test_successor_gets_the_reports_when_an_owner_is_lost(autojump_clock):
     async with open_hosts(3) as (hosts, network):
         one, two, three = hosts
         choice = await one.send(LARGE)
         await trio.sleep(0.05)
-        keeper = one.keepers.owner_of(choice.upstream.id)
-        one.names.remove(keeper)
+        owner = one.keepers.owner_of(choice.upstream.id)
+        one.names.remove(owner)
         one.chooser.record_prefill(choice, 0.2)
         again = await one.send(LARGE)
         await trio.sleep(0.05)
-        asker = next(each for each in (two, three) if each.name != keeper)
-        assert await asker.others_at(again) >= LARGE
+        querier = next(each for each in (two, three) if each.name != owner)
+        assert await querier.others_at(again) >= LARGE
 
 
-async def test_hosts_that_are_gone_are_told_only_now_and_then(autojump_clock):
+async def test_dead_owners_are_rarely_notified(autojump_clock):
     async with open_world() as world:
         await trio.sleep(2.0)
         world.connector.scripts["u1:80"] = lambda sent: Reply(OK, (b"data: 1\n\n",))
--- a/tests/relaying/upstreams.py
+++ b/tests/relaying/upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams of a world that answer by scripts of their own."""
+"""Worlds with upstreams whose answers a test scripts."""
 
 from collections.abc import Sequence
 from contextlib import asynccontextmanager
@@ -15,7 +15,7 @@
 
 
 class Answering(Protocol):
-    """What answers requests."""
+    """An upstream's behaviour."""
 
     def answer(self, sent: Sent) -> Reply:
         """Return the answer to a request."""
@@ -28,9 +28,10 @@
     controls: int = 3,
     services: Sequence[str] = SERVICES,
 ):
-    """Give a world in which all hosts know the upstreams, one of each service for each.
+    """Open a world in which all hosts know the upstreams.
 
-    They are named by their service and number, as `plain0`.
+    Each behaviour in `upstreams` becomes one upstream of each service, named by the
+    service and its position, such as `plain0`.
     """
     async with open_world(controls=controls, entries=entries) as world:
         for number, upstream in enumerate(upstreams):
