--- a/tests/relaying/test_lines.py
+++ b/tests/relaying/test_lines.py
@@ -25,7 +25,7 @@
     os.close(writer)
 
 
-def emit(handler: LineHandler, message: str, *arguments, line: int = 1) -> None:
+def log_record(handler: LineHandler, message: str, *arguments, line: int = 1) -> None:
     """Pass the handler a record of a log statement at `line`."""
     record = logging.LogRecord(
         "absl", logging.INFO, "relay.py", line, message, arguments, None
@@ -35,12 +35,12 @@
 
 def read_lines(reader: int) -> list[dict]:
     """Return the decoded lines in the pipe."""
-    return [json.loads(line) for line in os.read_lines(reader, 65_536).splitlines()]
+    return [json.loads(line) for line in os.read(reader, 65_536).splitlines()]
 
 
 def test_event_becomes_fields_of_its_line(pipe):
     reader, writer = pipe
-    emit(LineHandler("entry-1", writer), "relay: %s", EVENT)
+    log_record(LineHandler("entry-1", writer), "relay: %s", EVENT)
     [line] = read_lines(reader)
     assert (line["part"], line["event"]) == ("relay", "request_refused")
     assert (line["request"], line["retry_after_ms"]) == ("id-1", 300)
@@ -49,7 +49,7 @@
 
 def test_text_keeps_its_part(pipe):
     reader, writer = pipe
-    emit(LineHandler("entry-1", writer), "sync: %s answers.", "10.0.0.1:1")
+    log_record(LineHandler("entry-1", writer), "sync: %s answers.", "10.0.0.1:1")
     [line] = read_lines(reader)
     assert (line["part"], line["message"]) == ("sync", "10.0.0.1:1 answers.")
 
@@ -58,10 +58,10 @@
     reader, writer = pipe
     handler = LineHandler("entry-1", writer)
     for _ in range(100):
-        emit(handler, "relay: %s", EVENT)
+        log_record(handler, "relay: %s", EVENT)
     written = len(read_lines(reader))
     assert 0 < written < 100
-    emit(handler, "relay: %s", EVENT)
+    log_record(handler, "relay: %s", EVENT)
     [line] = read_lines(reader)
     assert line["dropped"] == 100 - written
 
@@ -73,8 +73,8 @@
     monkeypatch.setattr(line_handler, "_LINES_PER_SECOND", 0.0)
     handler = LineHandler("entry-1", writer)
     for _ in range(5):
-        emit(handler, "relay: %s", EVENT, line=1)
-    emit(handler, "relay: other", line=2)
+        log_record(handler, "relay: %s", EVENT, line=1)
+    log_record(handler, "relay: other", line=2)
     lines = read_lines(reader)
     assert [line.get("event") for line in lines].count("request_refused") == 3
     assert lines[-1]["message"] == "other"
@@ -82,7 +82,7 @@
 
 def test_long_message_is_truncated_to_one_write(pipe):
     reader, writer = pipe
-    emit(LineHandler("entry-1", writer), "relay: %s", "x" * 100_000)
+    log_record(LineHandler("entry-1", writer), "relay: %s", "x" * 100_000)
     [line] = read_lines(reader)
     assert len(line["message"]) < 4_096
 
