--- a/src/pepperstep/relay/recorder.py
+++ b/src/pepperstep/relay/recorder.py
@@ -172,7 +172,7 @@
 
 def truncated_target(head: RequestHead) -> str:
     """Return the requested host and path, truncated to the limit."""
-    host = head.first_byte_seconds(b"host").decode("latin-1")
+    host = head.first(b"host").decode("latin-1")
     path = head.target.decode("latin-1").partition("?")[0]
     return f"{host}{path}"[:_MAX_TARGET_CHARS]
 
