--- a/proofs/relay.py
+++ b/proofs/relay.py
@@ -108,8 +108,8 @@
         2,
         "only whole events are passed on",
         "relay/attempt.py",
-        "            whole = events.feed(piece)\n",
-        "            events.feed(piece)\n            whole = piece\n",
+        "            complete_events = events.feed(piece)\n",
+        "            events.feed(piece)\n            complete_events = piece\n",
         (f"{_RELAY}test_broken_stream_resumes_after_the_last_complete_event",),
     ),
     Mechanism(
--- a/src/pepperstep/relay/attempt.py
+++ b/src/pepperstep/relay/attempt.py
@@ -262,7 +262,7 @@
         if request.route.is_stream:
             await self._forward_events(request, connection, head)
         else:
-            await self._forward_whole(request, connection, head)
+            await self._forward_body(request, connection, head)
         request.is_answered = True
         return Outcome.ANSWERED
 
@@ -314,7 +314,7 @@
         )
         return Outcome.FAILED
 
-    async def _forward_whole(
+    async def _forward_body(
         self, request: RelayedRequest, connection: UpstreamConnection, head: AnswerHead
     ) -> None:
         """Forward a non-streamed answer, buffering a small one until it's complete."""
@@ -356,10 +356,10 @@
         events = request.events
         events.take_partial()
         async for piece in connection.pieces():
-            whole = events.feed(piece)
-            if whole:
+            complete_events = events.feed(piece)
+            if complete_events:
                 self._record_first_byte(request)
-                await self._forward_piece(exchange, head, whole)
+                await self._forward_piece(exchange, head, complete_events)
         partial = events.take_partial()
         if partial:
             await self._forward_piece(exchange, head, partial)
--- a/src/pepperstep/relay/quotas.py
+++ b/src/pepperstep/relay/quotas.py
@@ -3,9 +3,9 @@
 Each quota is a token bucket shared by all hosts. A host knows its own spending and
 learns the other hosts' spending a fraction of a second later. While the bucket holds
 more than all hosts can spend within that delay, each host admits requests by itself.
-Below that reserve, one host grants the remaining tokens to all (`quota_claims`). If the
-granting host doesn't answer, each host spends only from its share of the rate, which
-bounds the excess however many hosts decide at the same time.
+Below that reserve, one host, the workspace's owner, grants the remaining tokens to all
+(`quota_claims`). If the owner doesn't answer, each host spends only from its share of
+the rate, which bounds the excess however many hosts decide at the same time.
 
 While the bucket is low, all hosts have equal shares. Shares grow with the bucket's
 level, because callers are spread unevenly and some of the counted hosts are gone. A
@@ -22,7 +22,7 @@
 
 __all__ = ["Admission", "Claim", "QuotaState", "QuotaTolerance", "Quotas"]
 
-# Asks the granting host to charge a cost to a workspace's quota; None if unanswered.
+# Asks a workspace's owner to charge a cost to its quota; None without an answer.
 Claim = Callable[[str, float], Awaitable["Admission | None"]]
 
 # Time until all other hosts know a host's spending: its report to a control host and
@@ -59,8 +59,8 @@
 # Time for which a refund can be spent again. It counts towards the window in which it
 # was first spent.
 _CREDIT_LIFETIME_SECONDS = 1.0
-# Fraction of the burst that isn't granted, for hosts that can't reach the granting host
-# and spend from their shares.
+# Fraction of the burst that isn't granted, for hosts that can't reach the owner and
+# spend from their shares.
 _UNGRANTED_FRACTION = 0.4
 # Time within which hosts report grants as spent: one exchange each of the spending
 # host, a control host and this host, one of them lost.
--- a/tests/relaying/test_quota_claims.py
+++ b/tests/relaying/test_quota_claims.py
@@ -25,8 +25,8 @@
         peers = FakePeers(name, network, timers, nursery)
         self.name = name
         self.quotas = Quotas(lambda: len(NAMES), trio.current_time)
-        self.keepers = KeyOwners(name, peers, timers, lambda: NAMES)
-        self.claims = QuotaClaims(self.keepers, peers, self.quotas)
+        self.owners = KeyOwners(name, peers, timers, lambda: NAMES)
+        self.claims = QuotaClaims(self.owners, peers, self.quotas)
 
     async def fill_quota(self) -> None:
         """Create the workspace's bucket and wait until it's full."""
@@ -40,7 +40,7 @@
     network = FakeNetwork(random.Random(0))
     async with trio.open_nursery() as nursery:
         hosts = {name: Host(name, network, nursery) for name in NAMES}
-        owner = hosts["e1"].keepers.owner_of("desk")
+        owner = hosts["e1"].owners.owner_of("desk")
         others = [host for name, host in hosts.items() if name != owner]
         yield hosts[owner], others, network
         nursery.cancel_scope.cancel()
--- a/tests/relaying/test_shared_load.py
+++ b/tests/relaying/test_shared_load.py
@@ -40,9 +40,9 @@
         for upstream in UPSTREAMS:
             self.book.note(Announcement(upstream, "model", f"{upstream}:80", "z1"))
         prompts = PrefillTracker(trio.current_time)
-        self.keepers = KeyOwners(name, peers, timers, lambda: names[:OWNER_COUNT])
+        self.owners = KeyOwners(name, peers, timers, lambda: names[:OWNER_COUNT])
         self.load = SharedLoad(
-            self.keepers, peers, timers, lambda key: self.chooser.work_at(key)
+            self.owners, peers, timers, lambda key: self.chooser.work_at(key)
         )
         pools = Pools(FakeConnector(), lambda: len(names), trio.current_time)
         self.chooser = Chooser(
@@ -186,7 +186,7 @@
 ):
     async with open_hosts(3) as (hosts, network):
         host = hosts[1]
-        owner = host.keepers.owner_of(UPSTREAMS[0])
+        owner = host.owners.owner_of(UPSTREAMS[0])
         assert owner != host.name
         network.isolate(owner)
         started_at = trio.current_time()
@@ -235,7 +235,7 @@
     async with open_hosts(3) as (hosts, network):
         network.min_delay = network.max_delay = 0.01
         host = hosts[1]
-        assert host.keepers.owner_of(UPSTREAMS[0]) != host.name
+        assert host.owners.owner_of(UPSTREAMS[0]) != host.name
         async with trio.open_nursery() as nursery:
             chosen = []
 
@@ -257,7 +257,7 @@
         one, two, three = hosts
         choice = await one.send(LARGE)
         await trio.sleep(0.05)
-        owner = one.keepers.owner_of(choice.upstream.id)
+        owner = one.owners.owner_of(choice.upstream.id)
         one.names.remove(owner)
         one.chooser.record_prefill(choice, 0.2)
         again = await one.send(LARGE)
