--- a/proofs/relay.py
+++ b/proofs/relay.py
@@ -9,7 +9,7 @@
 _HOST_SHARE = "tests/relaying/test_host_share.py::"
 _RETRY_WINDOWS = (
     "tests/relaying/test_retry_windows.py"
-    "::test_hosts_that_forget_or_are_cut_off_send_no_allowance_twice"
+    "::test_no_window_exceeds_the_retry_budget_during_faults"
 )
 _DEPARTURES = "tests/relaying/test_acknowledged_leaving.py::"
 _ACKNOWLEDGED = (
@@ -51,30 +51,25 @@
         8,
         "an upstream that names a time to come back gets nothing before",
         "relay/signals.py",
-        "if facts.retry_after and status in _TURNED_AWAY:",
+        "if facts.retry_after and status in _REFUSAL_STATUSES:",
         "if False:",
-        (
-            f"{_RETRY_AFTER}test_request_that_was_turned_away_is_served_by_a_free_upstream",
-        ),
+        (f"{_RETRY_AFTER}test_refused_request_is_served_by_a_free_upstream",),
     ),
     Mechanism(
         8,
         "one host grants the permits of a stated limit for all",
         "relay/permits.py",
-        '        asked = self._keepers.keeper_of(upstream[0]) or ""\n',
-        "        asked = self._keepers.own_name\n",
-        (
-            f"{_LIMITS}test_all_hosts_together_keep_an_upstreams_stated_limit"
-            "[7-1.0-/safe/1]",
-        ),
+        '        asked = self._owners.owner_of(upstream[0]) or ""\n',
+        "        asked = self._owners.own_name\n",
+        (f"{_LIMITS}test_all_hosts_together_obey_an_upstreams_limit[7-1.0-/safe/1]",),
     ),
     Mechanism(
         8,
         "hosts next in line take off what was granted",
         "relay/permits.py",
-        "bucket.take_off(message.count, rate, _capacity_of(rate), self._now())",
+        "bucket.charge(message.count, rate, _capacity_of(rate), self._now())",
         "pass",
-        (f"{_LIMITS}test_limit_holds_while_hosts_disagree_on_the_granting_host[1]",),
+        (f"{_LIMITS}test_limit_holds_while_hosts_disagree_on_the_owner[1]",),
     ),
     Mechanism(
         8,
@@ -83,24 +78,21 @@
         '        self._backoff.hold(upstream, bounded, "no permit", asked)\n'
         "        return False\n",
         "        return True\n",
-        (
-            f"{_LIMITS}test_all_hosts_together_keep_an_upstreams_stated_limit"
-            "[7-1.0-/safe/1]",
-        ),
+        (f"{_LIMITS}test_all_hosts_together_obey_an_upstreams_limit[7-1.0-/safe/1]",),
     ),
     Mechanism(
         8,
         "one host's answer with a limit is told to all",
         "relay/signals.py",
-        "        self._has_news.set()\n",
+        "        self._has_pending.set()\n",
         "        pass\n",
-        (f"{_LIMITS}test_hosts_that_were_not_told_by_the_upstream_keep_its_limit",),
+        (f"{_LIMITS}test_hosts_learn_a_limit_from_another_hosts_answer",),
     ),
     Mechanism(
         2,
         "an answer belongs to the request whose id it names",
         "relay/attempt.py",
-        "if facts.attempt_id == attempt.facts.attempt_id or facts.was_refused:",
+        "if facts.attempt_id == request.facts.attempt_id or facts.was_refused:",
         "if True:",
         (f"{_RELAY}test_answer_without_the_requests_id_is_refused",),
     ),
@@ -116,17 +108,17 @@
         2,
         "only whole events are passed on",
         "relay/attempt.py",
-        "            whole = events.feed(piece)\n",
-        "            events.feed(piece)\n            whole = piece\n",
-        (f"{_RELAY}test_broken_stream_goes_on_after_the_last_whole_event",),
+        "            complete_events = events.feed(piece)\n",
+        "            events.feed(piece)\n            complete_events = piece\n",
+        (f"{_RELAY}test_broken_stream_resumes_after_the_last_complete_event",),
     ),
     Mechanism(
         2,
         "a whole answer is sent though its time is just over",
         "relay/attempt.py",
-        "with trio.move_on_after(_SEND_SECONDS, shield=True):",
-        "with trio.move_on_after(_SEND_SECONDS):",
-        (f"{_RELAY}test_answer_that_comes_just_in_time_is_sent_whole[200]",),
+        "with trio.move_on_after(_SEND_TIMEOUT_SECONDS, shield=True):",
+        "with trio.move_on_after(_SEND_TIMEOUT_SECONDS):",
+        (f"{_RELAY}test_answer_just_before_the_deadline_is_sent_completely[200]",),
     ),
     Mechanism(
         2,
@@ -136,14 +128,14 @@
         "if False:",
         (
             "tests/relaying/test_http1.py::"
-            "test_bad_request_is_refused_and_not_passed_on",
+            "test_malformed_request_is_refused_and_not_handled",
         ),
     ),
     Mechanism(
         4,
         "what may have run is repeated only if it's repeatable",
         "relay/relay.py",
-        "        return attempt.route.is_repeatable\n",
+        "        return request.route.is_repeatable\n",
         "        return True\n",
         (f"{_RELAY}test_once_only_request_with_attempts_left_runs_once",),
     ),
@@ -151,9 +143,9 @@
         3,
         "a request whose connection broke may have run",
         "relay/attempt.py",
-        "attempt.has_run = attempt.has_run or fault.was_sent",
-        "attempt.has_run = attempt.has_run",
-        (f"{_RELAY}test_broken_once_only_request_is_never_said_not_to_have_run",),
+        "request.may_have_run = request.may_have_run or fault.was_sent",
+        "request.may_have_run = request.may_have_run",
+        (f"{_RELAY}test_broken_once_only_request_is_never_reported_as_not_run",),
     ),
     Mechanism(
         5,
@@ -255,7 +247,7 @@
         "silent = [voter for voter, age in ages.items()"
         " if age > _VOTER_SILENCE_SECONDS]",
         "silent = []",
-        (f"{_GROUP}test_host_at_another_address_takes_the_place_of_one_gone",),
+        (f"{_GROUP}test_host_at_a_new_address_replaces_a_lost_one",),
     ),
     Mechanism(
         9,
@@ -341,23 +333,23 @@
         "relay/quotas.py",
         "bucket.level - cost >= self._reserve(bucket)",
         "bucket.level - cost >= 0",
-        (f"{_QUOTAS}test_no_window_has_more_than_is_allowed",),
+        (f"{_QUOTAS}test_no_window_exceeds_the_quota",),
     ),
     Mechanism(
         8,
         "a host without contact keeps to a fraction of its part",
         "relay/quotas.py",
-        "            return _ALONE_PART * equal\n",
+        "            return _ISOLATED_SHARE_FRACTION * equal\n",
         "            return equal\n",
-        (f"{_QUOTAS}test_hosts_without_contact_keep_the_windows",),
+        (f"{_QUOTAS}test_no_window_exceeds_the_quota_with_isolated_hosts",),
     ),
     Mechanism(
         8,
         "a host's part grows with what is left",
         "relay/quotas.py",
-        "return equal * max(1.0, _MOST_GROWTH * left)",
+        "return equal * max(1.0, _MAX_SHARE_GROWTH * left)",
         "return equal",
-        (f"{_QUOTAS}test_parts_of_hosts_that_are_gone_are_given_out",),
+        (f"{_QUOTAS}test_shares_of_lost_hosts_are_used",),
     ),
     Mechanism(
         8,
@@ -365,23 +357,23 @@
         "relay/quotas.py",
         "        for bucket in self._buckets.values():\n            quota =",
         "        for bucket in ():\n            quota =",
-        (f"{_QUOTAS}test_most_is_admitted_right_after_all_hosts_have_restarted",),
+        (f"{_QUOTAS}test_most_requests_are_admitted_after_all_hosts_restart",),
     ),
     Mechanism(
         9,
         "prompts go where the host has few requests under way",
         "relay/choice.py",
-        "    return work.unread + _REQUEST_TOKENS * work.requests",
+        "    return work.unread + _TOKENS_PER_REQUEST * work.requests",
         "    return work.unread",
-        (f"{_PLACEMENT}test_prompts_come_in_time",),
+        (f"{_PLACEMENT}test_first_tokens_arrive_in_time",),
     ),
     Mechanism(
         9,
         "hosts rank upstreams alike by a prompt's shared part",
         "relay/choice.py",
-        "+ share * shared * rank",
+        "+ rank_cost_share * shared * rank",
         "",
-        (f"{_PLACEMENT}test_hosts_send_a_parts_prompts_to_few_engines",),
+        (f"{_PLACEMENT}test_prompts_with_a_shared_part_go_to_few_engines",),
     ),
     Mechanism(
         9,
@@ -411,9 +403,9 @@
         8,
         "retries draw on a budget",
         "relay/relay.py",
-        "if attempt.sent and not self._take_retry(attempt):",
+        "if request.attempt_count and not self._spend_retry(request):",
         "if False:",
-        (f"{_RELAY}test_retries_stop_with_their_budget",),
+        (f"{_RELAY}test_retries_stop_when_their_budget_is_exhausted",),
     ),
     Mechanism(
         8,
@@ -421,7 +413,7 @@
         "relay/budget.py",
         "counts.saved = counts.credit = 0.0",
         "counts.saved, counts.credit = 60.0, 0.0",
-        (f"{_HOST_SHARE}test_lives_of_all_hosts_send_one_allowance_in_any_window",),
+        (f"{_HOST_SHARE}test_restarting_hosts_never_exceed_the_allowance_in_a_window",),
     ),
     Mechanism(
         8,
@@ -429,7 +421,7 @@
         "relay/budget.py",
         "(by_allowance > counts.saved or not self._share.part)",
         "by_allowance > counts.saved",
-        (f"{_HOST_SHARE}test_short_loss_of_contact_gives_nothing_and_takes_nothing",),
+        (f"{_HOST_SHARE}test_short_loss_of_contact_keeps_the_saved_retries",),
     ),
     Mechanism(
         8,
@@ -437,7 +429,7 @@
         "coordination/host_share.py",
         "while len(self._told) > 1 and self._told[0][0] < limit:",
         "while len(self._told) > 1:",
-        (f"{_HOST_SHARE}test_lower_number_counts_after_a_window_only",),
+        (f"{_HOST_SHARE}test_lower_host_count_applies_after_a_window",),
     ),
     Mechanism(
         8,
@@ -459,7 +451,7 @@
         2,
         "requests at an upstream that started again end at once",
         "programs/entry_host.py",
-        "        self._pools.cut(before.key)\n",
+        "        self._pools.close_all(before.key)\n",
         "        pass\n",
         (
             f"{_RESTARTS}"
@@ -493,18 +485,18 @@
         "return self._timers.wall()",
         (
             "tests/relaying/test_clock_steps.py::"
-            "test_jumps_of_clocks_move_no_hosts_true_time",
+            "test_clock_jumps_do_not_change_the_estimated_time",
         ),
     ),
     Mechanism(
         9,
         "hosts place prompts by what others have sent, too",
         "relay/choice.py",
-        "return own + others[upstream]",
+        "return own + peer_work[upstream]",
         "return own",
         (
             "tests/relaying/test_shared_load.py::"
-            "test_small_prompts_avoid_what_reads_another_hosts_large_one",
+            "test_small_prompts_avoid_an_engine_busy_with_another_hosts_prompt",
         ),
     ),
     Mechanism(
@@ -513,7 +505,7 @@
         "relay/quotas.py",
         "admission = None if claim is None else await claim(workspace.name, cost)",
         "admission = None",
-        (f"{_QUOTAS}test_windows_are_kept_when_demand_jumps_at_many_hosts",),
+        (f"{_QUOTAS}test_no_window_exceeds_the_quota_when_demand_jumps",),
     ),
     Mechanism(
         7,
