--- a/src/pepperstep/fleet/hosts.py
+++ b/src/pepperstep/fleet/hosts.py
@@ -14,7 +14,7 @@
 from absl import logging
 
 from pepperstep.errors import Failure
-from pepperstep.fleet.acts import Act, ActKind, ActState, Step
+from pepperstep.fleet.actions import Action, ActionKind, ActionState, Step
 from pepperstep.fleet.history import Mark, MarkKind, Pool, PoolKey
 from pepperstep.fleet.record import FleetRecord
 from pepperstep.fleet.tuning import FleetTuning
@@ -73,65 +73,71 @@
         """
         until = self._timers.now() + self._tuning.cloud_timeout
         async with trio.open_nursery() as nursery:
-            for act in self._record.machine.open_acts():
-                if act.kind is ActKind.START:
-                    nursery.start_soon(self._guard, self._start, act, until)
-                elif act.kind is ActKind.STOP and self._may_stop(act, is_drained):
-                    nursery.start_soon(self._guard, self._stop, act, until)
-
-    async def _guard(self, work: Callable, act: Act, until: float) -> None:
+            for action in self._record.machine.open_actions():
+                if action.kind is ActionKind.START:
+                    nursery.start_soon(self._guard, self._start, action, until)
+                elif action.kind is ActionKind.STOP and self._may_stop(
+                    action, is_drained
+                ):
+                    nursery.start_soon(self._guard, self._stop, action, until)
+
+    async def _guard(self, work: Callable, action: Action, until: float) -> None:
         """Do the work, a few at a time; what isn't begun by `until` waits."""
         async with self._calls:
             if self._timers.now() >= until:
                 return
             try:
-                await work(act)
+                await work(action)
             except Failure as failure:
                 text = failure.text
-                logging.warning("fleet: %s %s waits: %s", act.kind, act.id, text)
+                logging.warning("fleet: %s %s waits: %s", action.kind, action.id, text)
 
-    async def _start(self, act: Act) -> None:
-        if await self._is_given_up(act):
+    async def _start(self, action: Action) -> None:
+        if await self._is_given_up(action):
             return
-        if not await self._mark_sent(act):
+        if not await self._mark_sent(action):
             return
         host = None
         try:
             with self._timers.move_on_after(self._tuning.cloud_timeout):
-                host = await self._cloud.start_host(act.id, act.offer, act.deployment)
+                host = await self._cloud.start_host(
+                    action.id, action.offer, action.deployment
+                )
         except StartRefused as refusal:
-            await self._note_refused(act, refusal)
+            await self._note_refused(action, refusal)
         except OSError as error:
-            logging.warning("fleet: Start %s is in doubt: %s", act.id, error)
+            logging.warning("fleet: Start %s is in doubt: %s", action.id, error)
         if host is not None:
-            await self._note_started(act, host.id)
+            await self._note_started(action, host.id)
 
-    async def _mark_sent(self, act: Act) -> bool:
+    async def _mark_sent(self, action: Action) -> bool:
         """Return whether the act is recorded as sent and this host leads now."""
-        if act.state is ActState.RECORDED:
-            touched = await self._record.commit(steps=[Step.of(act, ActState.SENT)])
+        if action.state is ActionState.RECORDED:
+            touched = await self._record.commit(
+                steps=[Step.of(action, ActionState.SENT)]
+            )
             return bool(touched) and self._record.is_valid
         return self._record.is_valid
 
-    async def _is_given_up(self, act: Act) -> bool:
-        age = self._timers.wall() - act.recorded_at
+    async def _is_given_up(self, action: Action) -> bool:
+        age = self._timers.wall() - action.recorded_at
         if age < self._tuning.start_timeout:
             return False
         reason = f"No answer of the cloud for {age:.0f} s."
-        await self._record.commit(steps=[Step.of(act, ActState.UNDONE, reason)])
+        await self._record.commit(steps=[Step.of(action, ActionState.UNDONE, reason)])
         return True
 
-    async def _note_started(self, act: Act, host_id: str) -> None:
-        step = Step.of(act, ActState.DONE, host_id=host_id)
-        mark = Mark(PoolKey.of(act.offer), MarkKind.STARTED)
+    async def _note_started(self, action: Action, host_id: str) -> None:
+        step = Step.of(action, ActionState.DONE, host_id=host_id)
+        mark = Mark(PoolKey.of(action.offer), MarkKind.STARTED)
         await self._record.commit(steps=[step], marks=[mark])
 
-    async def _note_refused(self, act: Act, refusal: StartRefused) -> None:
-        key = PoolKey.of(act.offer)
+    async def _note_refused(self, action: Action, refusal: StartRefused) -> None:
+        key = PoolKey.of(action.offer)
         seconds = max(refusal.retry_after, self._backoff(key))
         mark = Mark(key, MarkKind.REFUSED, self._timers.wall() + seconds)
         reason = f"{refusal}; no start in {key} for {seconds:.0f} s."
-        step = Step.of(act, ActState.REFUSED, reason)
+        step = Step.of(action, ActionState.REFUSED, reason)
         await self._record.commit(steps=[step], marks=[mark])
 
     def _backoff(self, key: PoolKey) -> float:
@@ -145,61 +151,63 @@
         )
         return longest * (0.5 + self._rng.random() / 2)
 
-    def _may_stop(self, act: Act, is_drained: Callable[[str], bool]) -> bool:
-        age = self._timers.wall() - act.recorded_at
-        if is_drained(act.host_id):
+    def _may_stop(self, action: Action, is_drained: Callable[[str], bool]) -> bool:
+        age = self._timers.wall() - action.recorded_at
+        if is_drained(action.host_id):
             return age >= self._tuning.drain_settle
         return age >= self._tuning.drain_timeout
 
-    async def _stop(self, act: Act) -> None:
-        if not await self._mark_sent(act):
+    async def _stop(self, action: Action) -> None:
+        if not await self._mark_sent(action):
             return
         is_stopped = False
         try:
             with self._timers.move_on_after(self._tuning.cloud_timeout):
-                await self._cloud.stop_host(act.host_id)
+                await self._cloud.stop_host(action.host_id)
                 is_stopped = True
         except OSError as error:
-            logging.warning("fleet: Stop of %s is in doubt: %s", act.host_id, error)
+            logging.warning("fleet: Stop of %s is in doubt: %s", action.host_id, error)
         if is_stopped:
-            await self._note_gone(act.host_id, "It was stopped.")
+            await self._note_gone(action.host_id, "It was stopped.")
 
-    async def _note_listing(self, known: list[Act], hosts: list[CloudHost]) -> None:
+    async def _note_listing(self, known: list[Action], hosts: list[CloudHost]) -> None:
         """Record starts that are found, and hosts that are gone.
 
         `known` are the starts from before the listing.
         """
         by_token = {host.token: host for host in hosts}
-        for act in known:
-            host = by_token.get(act.id)
+        for action in known:
+            host = by_token.get(action.id)
             if host is not None:
-                self._missing.pop(act.id, None)
-                if act.is_open:
-                    await self._note_started(act, host.id)
-            elif act.state is ActState.DONE:
-                self._missing[act.id] = self._missing.get(act.id, 0) + 1
-                if self._missing[act.id] >= _MISSING_LISTINGS:
-                    del self._missing[act.id]
-                    await self._note_gone(act.host_id, "The cloud lists it no longer.")
+                self._missing.pop(action.id, None)
+                if action.is_open:
+                    await self._note_started(action, host.id)
+            elif action.state is ActionState.DONE:
+                self._missing[action.id] = self._missing.get(action.id, 0) + 1
+                if self._missing[action.id] >= _MISSING_LISTINGS:
+                    del self._missing[action.id]
+                    await self._note_gone(
+                        action.host_id, "The cloud lists it no longer."
+                    )
 
     async def _note_gone(self, host_id: str, reason: str) -> None:
         """End a host's start, and its stop if one is open."""
         steps = []
-        for act in self._record.machine.acts.values():
-            if act.host_id != host_id:
+        for action in self._record.machine.actions.values():
+            if action.host_id != host_id:
                 continue
-            is_start = act.kind is ActKind.START
-            state = ActState.ENDED if is_start else ActState.DONE
-            steps.append(Step.of(act, state, reason))
+            is_start = action.kind is ActionKind.START
+            state = ActionState.ENDED if is_start else ActionState.DONE
+            steps.append(Step.of(action, state, reason))
         await self._record.commit(steps=steps)
 
     async def _stop_orphans(self, hosts: list[CloudHost]) -> None:
-        acts = self._record.machine.acts
+        actions = self._record.machine.actions
         now = self._timers.now()
         orphans = {
             host.id: host
             for host in hosts
-            if host.token.startswith(TOKEN_PREFIX + "-") and host.token not in acts
+            if host.token.startswith(TOKEN_PREFIX + "-") and host.token not in actions
         }
         self._orphans_since = {
             host_id: self._orphans_since.get(host_id, now) for host_id in orphans
@@ -210,13 +218,13 @@
 
     async def _stop_orphan(self, host: CloudHost) -> None:
         reason = f"Its token {host.token} is not in the record."
-        act = Act(
+        action = Action(
             id=self._record.new_id("stop"),
-            kind=ActKind.STOP,
+            kind=ActionKind.STOP,
             deployment=host.deployment,
             host_id=host.id,
             reason=reason,
         )
-        stops = {a.host_id for a in self._record.machine.open_acts()}
+        stops = {a.host_id for a in self._record.machine.open_actions()}
         if host.id not in stops:
-            await self._record.commit(acts=[act])
+            await self._record.commit(actions=[action])
--- a/src/pepperstep/fleet/machine.py
+++ b/src/pepperstep/fleet/machine.py
@@ -12,7 +12,7 @@
 from google.protobuf.message import DecodeError
 
 from pepperstep.errors import Code, Failure
-from pepperstep.fleet.acts import Act, ActKind, ActState, Step, is_allowed
+from pepperstep.fleet.actions import Action, ActionKind, ActionState, Step, is_allowed
 from pepperstep.fleet.costs import CostAccount, CostKey
 from pepperstep.fleet.events import Event, EventLog
 from pepperstep.fleet.history import Pool, PoolKey
@@ -31,7 +31,7 @@
 from pepperstep.ports.cloud import PriceClass, ReclaimNotice
 from pepperstep.proto import fleet_pb2 as pb
 
-__all__ = ["MACHINE_NAME", "OrderMachine"]
+__all__ = ["MACHINE_NAME", "FleetStateMachine"]
 
 # Name under which the machine is registered with the log.
 MACHINE_NAME = "fleet"
@@ -44,16 +44,16 @@
 _NOTICE_SECONDS = 600.0
 
 
-class OrderMachine:
+class FleetStateMachine:
     """Acts, notices, pools, costs and events, equal on all control hosts."""
 
     def __init__(self) -> None:
         self.costs = CostAccount()
         self.events = EventLog()
         # Open acts, and starts whose host lives, by id.
-        self.acts: dict[str, Act] = {}
+        self.actions: dict[str, Action] = {}
         # Others, the newest last.
-        self.finished: deque[Act] = deque(maxlen=_FINISHED_KEPT)
+        self.finished: deque[Action] = deque(maxlen=_FINISHED_KEPT)
         self.pools: dict[PoolKey, Pool] = {}
         self.notices: dict[int, ReclaimNotice] = {}
         # Notices that were handed on to the requests' moves.
@@ -75,13 +75,13 @@
         """Host that leads in the newest epoch."""
         return self._leader
 
-    def hosts(self) -> list[Act]:
+    def hosts(self) -> list[Action]:
         """Return the starts that are open or whose host lives."""
-        return [act for act in self.acts.values() if act.is_host]
+        return [action for action in self.actions.values() if action.is_host]
 
-    def open_acts(self) -> list[Act]:
+    def open_actions(self) -> list[Action]:
         """Return the acts that are neither done nor given up, oldest first."""
-        return [act for act in self.acts.values() if act.is_open]
+        return [action for action in self.actions.values() if action.is_open]
 
     def apply(self, index: int, command: bytes) -> bytes:
         """Carry out a `FleetCommand`, return a `FleetResult`."""
@@ -105,8 +105,8 @@
             term=self._term,
             leader=self._leader,
             fence=self._fence,
-            acts=[act_to(act) for act in self.acts.values()],
-            finished=[act_to(act) for act in self.finished],
+            acts=[act_to(action) for action in self.actions.values()],
+            finished=[act_to(action) for action in self.finished],
             last_notice=self.last_notice,
             notices=[
                 notice_to(notice, notice.id in self.handed_notices)
@@ -133,7 +133,7 @@
     def _take(self, state: pb.FleetState) -> None:
         self._epoch, self._term = state.epoch, state.term
         self._leader, self._fence = state.leader, state.fence
-        self.acts = {act.id: act_from(act) for act in state.acts}
+        self.actions = {action.id: act_from(action) for action in state.acts}
         self.finished = deque(map(act_from, state.finished), maxlen=_FINISHED_KEPT)
         self.last_notice = state.last_notice
         self.notices = {each.id: notice_from(each) for each in state.notices}
@@ -152,13 +152,13 @@
             self._begin(command)
         elif command.epoch != self._epoch and not changes.has_only_events:
             return pb.FleetResult(is_fenced=True, epoch=self._epoch)
-        touched = self._record(changes.acts, command.time)
+        touched = self._record(changes.actions, command.time)
         touched += self._advance(changes.steps, command.time)
         self._note(changes)
         for event in changes.events:
             self.events.add(event)
         return pb.FleetResult(
-            epoch=self._epoch, acts=[act_to(act) for act in touched if act]
+            epoch=self._epoch, acts=[act_to(action) for action in touched if action]
         )
 
     def _begin(self, command: pb.FleetCommand) -> None:
@@ -168,49 +168,57 @@
         text = f"Leads the fleet in epoch {self._epoch}, term {self._term}."
         self.events.add(Event(command.time, "lead", self._leader, text))
 
-    def _record(self, acts: Iterable[Act], time: float) -> list[Act]:
+    def _record(self, actions: Iterable[Action], time: float) -> list[Action]:
         recorded = []
-        for act in acts:
-            if act.id in self.acts or len(self.acts) >= _MAX_ACTS:
+        for action in actions:
+            if action.id in self.actions or len(self.actions) >= _MAX_ACTS:
                 continue
             new = replace(
-                act,
-                state=ActState.RECORDED,
+                action,
+                state=ActionState.RECORDED,
                 fence=self._next_fence(),
                 recorded_at=time,
                 changed_at=time,
             )
-            self.acts[act.id] = new
+            self.actions[action.id] = new
             self.events.add(
-                Event(time, act.kind, act.subject, _describe(act), act.reason)
+                Event(
+                    time, action.kind, action.subject, _describe(action), action.reason
+                )
             )
             recorded.append(new)
         return recorded
 
-    def _advance(self, steps: Iterable[Step], time: float) -> list[Act]:
+    def _advance(self, steps: Iterable[Step], time: float) -> list[Action]:
         return [self._step(step, time) for step in steps]
 
-    def _step(self, step: Step, time: float) -> Act | None:
-        act = self.acts.get(step.id)
-        if act is None or act.fence != step.fence or not is_allowed(act, step.state):
+    def _step(self, step: Step, time: float) -> Action | None:
+        action = self.actions.get(step.id)
+        if (
+            action is None
+            or action.fence != step.fence
+            or not is_allowed(action, step.state)
+        ):
             return None
         new = replace(
-            act,
+            action,
             state=step.state,
-            host_id=step.host_id or act.host_id,
+            host_id=step.host_id or action.host_id,
             changed_at=time,
         )
-        if step.state is ActState.RECORDED:
-            new = replace(new, fence=self._next_fence(), repeats=act.repeats + 1)
+        if step.state is ActionState.RECORDED:
+            new = replace(new, fence=self._next_fence(), repeats=action.repeats + 1)
         if new.is_open or new.is_host:
-            self.acts[act.id] = new
+            self.actions[action.id] = new
         else:
-            del self.acts[act.id]
+            del self.actions[action.id]
             self.finished.append(new)
-        if step.state is not ActState.SENT:
-            text = f"{act.kind} {act.id} is {step.state}."
+        if step.state is not ActionState.SENT:
+            text = f"{action.kind} {action.id} is {step.state}."
             self.events.add(
-                Event(time, f"{act.kind}_{step.state}", new.subject, text, step.reason)
+                Event(
+                    time, f"{action.kind}_{step.state}", new.subject, text, step.reason
+                )
             )
         return new
 
@@ -248,7 +256,7 @@
     def __init__(self, command: pb.FleetCommand):
         self.command = command
         self.id = command.id
-        self.acts = [act_from(act) for act in command.acts]
+        self.actions = [act_from(action) for action in command.acts]
         self.steps = [step_from(step) for step in command.steps]
         self.notices = [notice_from(notice) for notice in command.notices]
         self.marks = [mark_from(mark) for mark in command.marks]
@@ -262,20 +270,20 @@
         return fields <= {"id", "time", "events"}
 
 
-def _describe(act: Act) -> str:
-    if act.kind is ActKind.START:
-        offer = act.offer
+def _describe(action: Action) -> str:
+    if action.kind is ActionKind.START:
+        offer = action.offer
         return (
-            f"Start a host for {act.deployment} in {offer.zone}, {offer.machine}, "
+            f"Start a host for {action.deployment} in {offer.zone}, {offer.machine}, "
             f"{offer.price_class}, {offer.price:g} an hour."
         )
-    if act.kind is ActKind.STOP:
-        return f"Stop a host of {act.deployment}."
-    key = act.model_key
-    detail = act.role or ""
+    if action.kind is ActionKind.STOP:
+        return f"Stop a host of {action.deployment}."
+    key = action.model_key
+    detail = action.role or ""
     if key is not None:
         detail = ":".join((key.model, key.adapter, key.version))
-    return f"Order {act.kind} {detail}".rstrip() + "."
+    return f"Order {action.kind} {detail}".rstrip() + "."
 
 
 def _key_of(rate: pb.FleetRate) -> CostKey:
--- a/src/pepperstep/fleet/messages.py
+++ b/src/pepperstep/fleet/messages.py
@@ -1,7 +1,7 @@
 """Commands and state of the fleet as messages, and back."""
 
 from pepperstep.entities import ModelKey, Role
-from pepperstep.fleet.acts import Act, ActKind, ActState, Step
+from pepperstep.fleet.actions import Action, ActionKind, ActionState, Step
 from pepperstep.fleet.events import Event
 from pepperstep.fleet.history import Mark, MarkKind, Pool, PoolKey
 from pepperstep.ports.cloud import Offer, PriceClass, ReclaimNotice
@@ -23,44 +23,44 @@
 ]
 
 
-def act_to(act: Act) -> pb.FleetAct:
+def act_to(action: Action) -> pb.FleetAct:
     """Return the act as a message."""
     message = pb.FleetAct(
-        id=act.id,
-        kind=act.kind,
-        state=act.state,
-        fence=act.fence,
-        deployment=act.deployment,
-        reason=act.reason,
-        recorded_at=act.recorded_at,
-        changed_at=act.changed_at,
-        host_id=act.host_id,
-        upstream=act.upstream,
-        upstream_epoch=act.upstream_epoch,
-        role=act.role or "",
-        repeats=act.repeats,
+        id=action.id,
+        kind=action.kind,
+        state=action.state,
+        fence=action.fence,
+        deployment=action.deployment,
+        reason=action.reason,
+        recorded_at=action.recorded_at,
+        changed_at=action.changed_at,
+        host_id=action.host_id,
+        upstream=action.upstream,
+        upstream_epoch=action.upstream_epoch,
+        role=action.role or "",
+        repeats=action.repeats,
     )
-    if act.offer is not None:
-        message.offer.CopyFrom(_offer_to(act.offer))
-    if act.model_key is not None:
-        key = act.model_key
+    if action.offer is not None:
+        message.offer.CopyFrom(_offer_to(action.offer))
+    if action.model_key is not None:
+        key = action.model_key
         message.model.CopyFrom(
             pb.FleetModel(model=key.model, adapter=key.adapter, version=key.version)
         )
     return message
 
 
-def act_from(message: pb.FleetAct) -> Act:
+def act_from(message: pb.FleetAct) -> Action:
     """Return the act in a message."""
     offer = _offer_from(message.offer) if message.HasField("offer") else None
     key = None
     if message.HasField("model"):
         found = message.model
         key = ModelKey(found.model, found.adapter, found.version)
-    return Act(
+    return Action(
         id=message.id,
-        kind=ActKind(message.kind),
-        state=ActState(message.state),
+        kind=ActionKind(message.kind),
+        state=ActionState(message.state),
         fence=message.fence,
         deployment=message.deployment,
         reason=message.reason,
@@ -92,7 +92,7 @@
     return Step(
         message.id,
         message.fence,
-        ActState(message.state),
+        ActionState(message.state),
         message.host_id,
         message.reason,
     )
--- a/src/pepperstep/fleet/observer.py
+++ b/src/pepperstep/fleet/observer.py
@@ -7,7 +7,7 @@
 
 from pepperstep.configuration import Configuration, Deployment
 from pepperstep.entities import Upstream, UpstreamKind
-from pepperstep.fleet.acts import Act, ActKind, ActState
+from pepperstep.fleet.actions import Action, ActionKind, ActionState
 from pepperstep.fleet.demand import (
     Demand,
     Need,
@@ -17,7 +17,7 @@
 )
 from pepperstep.fleet.history import Pool, PoolKey, decayed_count
 from pepperstep.fleet.hosts import TOKEN_PREFIX
-from pepperstep.fleet.machine import OrderMachine
+from pepperstep.fleet.machine import FleetStateMachine
 from pepperstep.fleet.rollout import EngineView, RolloutView
 from pepperstep.fleet.tuning import FleetTuning
 from pepperstep.fleet.views import DeploymentView, HostView, PoolView
@@ -45,13 +45,13 @@
     # Engines by host.
     engines: dict[str, list[Upstream]]
     # Starts by deployment.
-    starts: dict[str, list[Act]]
+    starts: dict[str, list[Action]]
     # Hosts that are being taken back or stopped.
     leaving: frozenset[str]
     # Orders by the upstream's name and epoch, the latest ones last.
-    orders: dict[tuple[str, int], list[Act]]
+    orders: dict[tuple[str, int], list[Action]]
 
-    def orders_of(self, engine: Upstream) -> list[Act]:
+    def orders_of(self, engine: Upstream) -> list[Action]:
         """Return the orders to one life of an engine."""
         return self.orders.get((engine.name, engine.epoch), [])
 
@@ -61,7 +61,7 @@
 
     def __init__(
         self,
-        machine: OrderMachine,
+        machine: FleetStateMachine,
         registry: UpstreamRegistry,
         weights: Weights,
         timers: Timers,
@@ -113,7 +113,7 @@
             engine
             for engine in scene.engines.get(host_id, [])
             if not engine.is_leaving
-            and not any(self._is_draining(act) for act in scene.orders_of(engine))
+            and not any(self._is_draining(action) for action in scene.orders_of(engine))
         ]
 
     def is_drained(self, host_id: str) -> bool:
@@ -123,13 +123,13 @@
             for engine in self._look().engines.get(host_id, [])
         )
 
-    def _is_draining(self, act: Act) -> bool:
+    def _is_draining(self, action: Action) -> bool:
         """Whether the act stands against another order to drain."""
-        if act.kind is not ActKind.DRAIN:
+        if action.kind is not ActionKind.DRAIN:
             return False
-        age = self._timers.wall() - act.changed_at
-        is_refused = act.state is ActState.REFUSED
-        return act.is_open or not is_refused or age < self._tuning.refused_pause
+        age = self._timers.wall() - action.changed_at
+        is_refused = action.state is ActionState.REFUSED
+        return action.is_open or not is_refused or age < self._tuning.refused_pause
 
     def _look(self) -> _Scene:
         engines = defaultdict(list)
@@ -137,22 +137,22 @@
             if upstream.kind is UpstreamKind.ENGINE:
                 engines[upstream.host].append(upstream)
         leaving = {notice.host_id for notice in self._machine.notices.values()}
-        for act in self._machine.open_acts():
-            if act.kind is ActKind.STOP:
-                leaving.add(act.host_id)
+        for action in self._machine.open_actions():
+            if action.kind is ActionKind.STOP:
+                leaving.add(action.host_id)
         for host in self._foreign:
             if host.state is HostState.RECLAIMING:
                 leaving.add(host.id)
         starts = defaultdict(list)
-        for act in self._machine.hosts():
-            starts[act.deployment].append(act)
+        for action in self._machine.hosts():
+            starts[action.deployment].append(action)
         return _Scene(dict(engines), dict(starts), frozenset(leaving), self._orders())
 
-    def _orders(self) -> dict[tuple[str, int], list[Act]]:
+    def _orders(self) -> dict[tuple[str, int], list[Action]]:
         orders = defaultdict(list)
-        for act in (*self._machine.finished, *self._machine.open_acts()):
-            if act.is_order:
-                orders[act.upstream, act.upstream_epoch].append(act)
+        for action in (*self._machine.finished, *self._machine.open_actions()):
+            if action.is_order:
+                orders[action.upstream, action.upstream_epoch].append(action)
         return dict(orders)
 
     def _deployment_view(
@@ -179,7 +179,9 @@
         )
 
     def _host_views(self, name: str, scene: _Scene) -> list[HostView]:
-        views = [self._host_view(act, scene) for act in scene.starts.get(name, [])]
+        views = [
+            self._host_view(action, scene) for action in scene.starts.get(name, [])
+        ]
         for host in self._foreign:
             if host.deployment == name:
                 is_leaving = host.id in scene.leaving
@@ -188,28 +190,28 @@
                 views.append(HostView("", host.id, key, host.price, ready, is_leaving))
         return views
 
-    def _host_view(self, act: Act, scene: _Scene) -> HostView:
-        since = self._unready_since.get(act.host_id)
+    def _host_view(self, action: Action, scene: _Scene) -> HostView:
+        since = self._unready_since.get(action.host_id)
         unready_for = 0.0 if since is None else self._timers.now() - since
         return HostView(
-            act.id,
-            act.host_id,
-            PoolKey.of(act.offer),
-            act.offer.price,
-            _is_ready(scene, act.host_id),
-            act.host_id != "" and act.host_id in scene.leaving,
+            action.id,
+            action.host_id,
+            PoolKey.of(action.offer),
+            action.offer.price,
+            _is_ready(scene, action.host_id),
+            action.host_id != "" and action.host_id in scene.leaving,
             unready_for > self._tuning.start_timeout,
-            _busy(scene, act.host_id),
+            _busy(scene, action.host_id),
         )
 
     def _note_readiness(self, scene: _Scene) -> None:
         now = self._timers.now()
         self._unready_since = {
-            act.host_id: self._unready_since.get(act.host_id, now)
-            for act in self._machine.hosts()
-            if act.state is ActState.DONE
-            and not _is_ready(scene, act.host_id)
-            and not _waits_for_load(scene, act.host_id)
+            action.host_id: self._unready_since.get(action.host_id, now)
+            for action in self._machine.hosts()
+            if action.state is ActionState.DONE
+            and not _is_ready(scene, action.host_id)
+            and not _waits_for_load(scene, action.host_id)
         }
 
     def _need(
@@ -301,22 +303,22 @@
         return replace(view, is_settled=self._is_settled(view))
 
     def _engine_view(
-        self, engine: Upstream, deployment: Deployment, acts: list[Act]
+        self, engine: Upstream, deployment: Deployment, actions: list[Action]
     ) -> EngineView:
         key = deployment.model_key
         now = self._timers.wall()
         is_loading = key not in engine.models and any(
-            act.kind is ActKind.LOAD
-            and act.model_key == key
-            and (act.is_open or act.state is ActState.DONE)
-            and now - act.changed_at < self._tuning.load_timeout
-            for act in acts
+            action.kind is ActionKind.LOAD
+            and action.model_key == key
+            and (action.is_open or action.state is ActionState.DONE)
+            and now - action.changed_at < self._tuning.load_timeout
+            for action in actions
         )
         is_paused = any(
-            act.is_open
-            or act.state is ActState.REFUSED
-            and now - act.changed_at < self._tuning.refused_pause
-            for act in acts
+            action.is_open
+            or action.state is ActionState.REFUSED
+            and now - action.changed_at < self._tuning.refused_pause
+            for action in actions
         )
         return EngineView(
             engine.name,
@@ -345,9 +347,9 @@
     """Whether a host's engines are there and no load was tried on any."""
     engines = scene.engines.get(host_id, [])
     return bool(engines) and not any(
-        act.kind is ActKind.LOAD and not act.is_open
+        action.kind is ActionKind.LOAD and not action.is_open
         for engine in engines
-        for act in scene.orders_of(engine)
+        for action in scene.orders_of(engine)
     )
 
 
--- a/src/pepperstep/fleet/orders.py
+++ b/src/pepperstep/fleet/orders.py
@@ -14,7 +14,7 @@
 
 from pepperstep.entities import Upstream
 from pepperstep.errors import Failure
-from pepperstep.fleet.acts import Act, ActKind, ActState, Step
+from pepperstep.fleet.actions import Action, ActionKind, ActionState, Step
 from pepperstep.fleet.record import FleetRecord
 from pepperstep.fleet.tuning import FleetTuning
 from pepperstep.ports import Timers
@@ -58,57 +58,61 @@
 
         Upstreams named in `ignoring` don't check fencing numbers.
         """
-        orders: dict[str, list[Act]] = defaultdict(list)
-        for act in self._record.machine.open_acts():
-            if act.is_order:
-                orders[act.upstream].append(act)
+        orders: dict[str, list[Action]] = defaultdict(list)
+        for action in self._record.machine.open_actions():
+            if action.is_order:
+                orders[action.upstream].append(action)
         async with trio.open_nursery() as nursery:
-            for name, acts in orders.items():
+            for name, actions in orders.items():
                 nursery.start_soon(
-                    self._advance_one, acts, upstreams.get(name), name in ignoring
+                    self._advance_one, actions, upstreams.get(name), name in ignoring
                 )
 
     async def _advance_one(
-        self, acts: list[Act], upstream: Upstream | None, is_ignoring: bool
+        self, actions: list[Action], upstream: Upstream | None, is_ignoring: bool
     ) -> None:
         async with self._calls:
             try:
-                await self._advance_all(acts, upstream, is_ignoring)
+                await self._advance_all(actions, upstream, is_ignoring)
             except Failure as failure:
-                name = acts[0].upstream
+                name = actions[0].upstream
                 logging.warning("fleet: Orders to %s wait: %s", name, failure.text)
 
     async def _advance_all(
-        self, acts: list[Act], upstream: Upstream | None, is_ignoring: bool
+        self, actions: list[Action], upstream: Upstream | None, is_ignoring: bool
     ) -> None:
         gone = [
-            act
-            for act in acts
-            if upstream is None or act.upstream_epoch != upstream.epoch
+            action
+            for action in actions
+            if upstream is None or action.upstream_epoch != upstream.epoch
         ]
         if gone:
             reason = "The upstream's process has ended."
-            await self._finish(gone, ActState.UNDONE, reason)
-        for act in sorted(acts, key=lambda act: act.fence):
-            if act not in gone and not await self._give(act, upstream, is_ignoring):
+            await self._finish(gone, ActionState.UNDONE, reason)
+        for action in sorted(actions, key=lambda action: action.fence):
+            if action not in gone and not await self._give(
+                action, upstream, is_ignoring
+            ):
                 return
 
-    async def _give(self, act: Act, upstream: Upstream, is_ignoring: bool) -> bool:
+    async def _give(
+        self, action: Action, upstream: Upstream, is_ignoring: bool
+    ) -> bool:
         """Return whether the next order may follow now."""
         if is_ignoring and not self._is_quiet(upstream):
             return False
-        is_doubtful = act.state is ActState.SENT
+        is_doubtful = action.state is ActionState.SENT
         is_unknown = (upstream.name, upstream.epoch) not in self._read
         if is_doubtful or (is_ignoring and is_unknown):
             state = await self._read_state(upstream)
             if state is None or state.epoch != upstream.epoch:
                 return False
-            if _is_carried_out(act, state):
+            if _is_carried_out(action, state):
                 reason = "It was read back as carried out."
-                return await self._finish([act], ActState.DONE, reason)
+                return await self._finish([action], ActionState.DONE, reason)
         if is_doubtful:
-            act = await self._repeat(act)
-        return act is not None and await self._send(act, upstream)
+            action = await self._repeat(action)
+        return action is not None and await self._send(action, upstream)
 
     def _is_quiet(self, upstream: Upstream) -> bool:
         """Whether no earlier order can be under way to the upstream."""
@@ -130,57 +134,59 @@
             self._read.add((upstream.name, upstream.epoch))
         return state
 
-    async def _repeat(self, act: Act) -> Act | None:
+    async def _repeat(self, action: Action) -> Action | None:
         """Record the order again with a new number, None if often enough."""
-        if act.repeats >= _MAX_REPEATS:
-            reason = f"Sent {act.repeats + 1} times without an answer."
-            await self._finish([act], ActState.UNDONE, reason)
+        if action.repeats >= _MAX_REPEATS:
+            reason = f"Sent {action.repeats + 1} times without an answer."
+            await self._finish([action], ActionState.UNDONE, reason)
             return None
         reason = "It was in doubt and read back as not carried out."
-        steps = [Step.of(act, ActState.RECORDED, reason)]
+        steps = [Step.of(action, ActionState.RECORDED, reason)]
         return next(iter(await self._record.commit(steps=steps)), None)
 
-    async def _send(self, act: Act, upstream: Upstream) -> bool:
+    async def _send(self, action: Action, upstream: Upstream) -> bool:
         """Send an order; return whether it was accepted."""
-        if not await self._record.commit(steps=[Step.of(act, ActState.SENT)]):
+        if not await self._record.commit(steps=[Step.of(action, ActionState.SENT)]):
             return False
         ttl = self._tuning.order_ttl
         if not await self._record.wait_lease(ttl):
             return False
         step = None
         with self._timers.move_on_after(ttl):
-            step = await self._attempt(act, upstream)
+            step = await self._attempt(action, upstream)
         if step is None:
             self._doubted_at[upstream.name] = self._timers.now()
             return False
         await self._record.commit(steps=[step])
-        return step.state is ActState.DONE
+        return step.state is ActionState.DONE
 
-    async def _attempt(self, act: Act, upstream: Upstream) -> Step | None:
+    async def _attempt(self, action: Action, upstream: Upstream) -> Step | None:
         """Return the order's end, None if it's in doubt."""
         try:
-            await self._client.send_order(upstream, act.to_order())
+            await self._client.send_order(upstream, action.to_order())
         except UpstreamRefused as refusal:
-            return Step.of(act, ActState.REFUSED, str(refusal))
+            return Step.of(action, ActionState.REFUSED, str(refusal))
         except UpstreamFault as fault:
-            logging.warning("fleet: Order %s is in doubt: %s", act.id, fault)
+            logging.warning("fleet: Order %s is in doubt: %s", action.id, fault)
             return None
-        return Step.of(act, ActState.DONE)
+        return Step.of(action, ActionState.DONE)
 
-    async def _finish(self, acts: list[Act], state: ActState, reason: str) -> bool:
-        steps = [Step.of(act, state, reason) for act in acts]
+    async def _finish(
+        self, actions: list[Action], state: ActionState, reason: str
+    ) -> bool:
+        steps = [Step.of(action, state, reason) for action in actions]
         await self._record.commit(steps=steps)
         return True
 
 
-def _is_carried_out(act: Act, state: UpstreamState) -> bool:
-    if state.last_order == act.id:
+def _is_carried_out(action: Action, state: UpstreamState) -> bool:
+    if state.last_order == action.id:
         return True
-    match act.kind:
-        case ActKind.LOAD:
-            return act.model_key in state.models
-        case ActKind.UNLOAD:
-            return act.model_key not in state.models
-        case ActKind.SET_ROLE:
-            return state.role is act.role
+    match action.kind:
+        case ActionKind.LOAD:
+            return action.model_key in state.models
+        case ActionKind.UNLOAD:
+            return action.model_key not in state.models
+        case ActionKind.SET_ROLE:
+            return state.role is action.role
     return state.is_leaving
--- a/src/pepperstep/fleet/record.py
+++ b/src/pepperstep/fleet/record.py
@@ -6,11 +6,11 @@
 from absl import logging
 
 from pepperstep.errors import Code, Failure
-from pepperstep.fleet.acts import Act, Step
+from pepperstep.fleet.actions import Action, Step
 from pepperstep.fleet.costs import CostKey
 from pepperstep.fleet.events import Event
 from pepperstep.fleet.history import Mark
-from pepperstep.fleet.machine import MACHINE_NAME, OrderMachine
+from pepperstep.fleet.machine import MACHINE_NAME, FleetStateMachine
 from pepperstep.fleet.messages import (
     act_from,
     act_to,
@@ -37,7 +37,7 @@
         self,
         host: str,
         agreement: Agreement,
-        machine: OrderMachine,
+        machine: FleetStateMachine,
         timers: Timers,
         rng: random.Random,
         tuning: FleetTuning,
@@ -82,21 +82,21 @@
     async def commit(
         self,
         *,
-        acts: Iterable[Act] = (),
+        actions: Iterable[Action] = (),
         steps: Iterable[Step] = (),
         marks: Iterable[Mark] = (),
         notices: Iterable[ReclaimNotice] = (),
         handed_notices: Iterable[int] = (),
         rates: dict[CostKey, float] | None = None,
         events: Iterable[Event] = (),
-    ) -> list[Act]:
+    ) -> list[Action]:
         """Commit changes together and return the acts that they touched.
 
         Raise `Failure` with `FENCED` if a newer epoch has begun, and with
         `NO_QUORUM` if it isn't known whether the changes were committed.
         """
         command = self._command(self.new_id("command"))
-        command.acts.extend(act_to(act) for act in acts)
+        command.acts.extend(act_to(action) for action in actions)
         command.steps.extend(step_to(step) for step in steps)
         command.marks.extend(mark_to(mark) for mark in marks)
         command.notices.extend(notice_to(notice) for notice in notices)
@@ -111,7 +111,7 @@
         result = await self._propose(command)
         if result.is_fenced:
             raise Failure(Code.FENCED, f"Epoch {result.epoch} has begun.")
-        return [act_from(act) for act in result.acts]
+        return [act_from(action) for action in result.acts]
 
     async def wait_lease(self, seconds: float) -> bool:
         """Return whether the lease holds for more than `seconds` from now on.
--- a/tests/faults/test_orders.py
+++ b/tests/faults/test_orders.py
@@ -45,10 +45,10 @@
             step.detail.DESCRIPTOR.name == "LogAppendRequest"
         )
         return is_append and any(
-            act.kind == kind
+            action.kind == kind
             for entry in step.detail.entries
             if entry.proposal.name == MACHINE_NAME
-            for act in FleetCommand.FromString(entry.proposal.command).acts
+            for action in FleetCommand.FromString(entry.proposal.command).acts
         )
 
     return is_reached
@@ -124,10 +124,10 @@
     if leader is None:
         return "No host leads."
     machine = leader.node._fleet.machine
-    if machine.open_acts() or not machine.hosts():
-        return f"Open: {machine.open_acts()}."
+    if machine.open_actions() or not machine.hosts():
+        return f"Open: {machine.open_actions()}."
     living = {host.token: host.id for host in _started(scene)}
-    recorded = {act.id: act.host_id for act in machine.hosts()}
+    recorded = {action.id: action.host_id for action in machine.hosts()}
     if living != recorded:
         return f"Lives {living}, recorded {recorded}."
     engines = [e for e in scene.upstreams.engines if e.upstream.host in living.values()]
--- a/tests/fleet/site.py
+++ b/tests/fleet/site.py
@@ -268,9 +268,9 @@
 
     def check_whole(self, hosts: int) -> None:
         """Check that no start, host or order is lost, doubled or left open."""
-        assert not self.machine.open_acts()
+        assert not self.machine.open_actions()
         living = {host.token: host.id for host in self.cloud.living}
-        assert living == {act.id: act.host_id for act in self.machine.hosts()}
+        assert living == {action.id: action.host_id for action in self.machine.hosts()}
         assert len(living) == hosts
         assert len({engine.upstream.host for engine in self.engines}) == hosts
         assert all(KEY in engine.upstream.models for engine in self.engines)
