--- a/measure/capacity_fleet.py
+++ b/measure/capacity_fleet.py
@@ -8,7 +8,7 @@
 from pepperstep.configuration import Configuration, Deployment
 from pepperstep.entities import Load, ModelKey, Upstream, UpstreamKind
 from pepperstep.fakes import FakeTimers
-from pepperstep.fleet import FleetTuning, FleetStateMachine, plan_fleet
+from pepperstep.fleet import FleetStateMachine, FleetTuning, plan_fleet
 from pepperstep.fleet.actions import Action, ActionKind, ActionState
 from pepperstep.fleet.observer import Observer
 from pepperstep.fleet.weights import Weights
--- a/src/pepperstep/fleet/__init__.py
+++ b/src/pepperstep/fleet/__init__.py
@@ -1,11 +1,11 @@
-"""The leader's fleet: hosts rented, models loaded, and the record of it."""
+"""Autoscaling of rented hosts and rollout of models, run by the log's leader."""
 
 from pepperstep.fleet.actions import Action, ActionKind, ActionState
 from pepperstep.fleet.costs import CostAccount, CostKey
 from pepperstep.fleet.demand import Demand, Need, needed_replicas
 from pepperstep.fleet.events import Event, EventLog
 from pepperstep.fleet.fleet import Fleet, FleetPorts
-from pepperstep.fleet.history import Pool, PoolKey
+from pepperstep.fleet.history import PoolHistory, PoolKey
 from pepperstep.fleet.machine import MACHINE_NAME, FleetStateMachine
 from pepperstep.fleet.notices import OnReclaim
 from pepperstep.fleet.observer import DemandSource, UpstreamRegistry
@@ -38,7 +38,7 @@
     "OnReclaim",
     "FleetStateMachine",
     "POLICIES",
-    "Pool",
+    "PoolHistory",
     "PoolKey",
     "PoolView",
     "RolloutView",
--- a/src/pepperstep/fleet/actions.py
+++ b/src/pepperstep/fleet/actions.py
@@ -1,4 +1,4 @@
-"""Acts of the fleet: hosts started and stopped, orders to upstreams."""
+"""Actions of the fleet: starts and stops of hosts, orders to upstreams."""
 
 import enum
 from dataclasses import dataclass
@@ -7,11 +7,11 @@
 from pepperstep.ports.cloud import Offer
 from pepperstep.ports.upstreams import OrderKind, UpstreamOrder
 
-__all__ = ["Action", "ActionKind", "ActionState", "Step", "is_allowed"]
+__all__ = ["Action", "ActionKind", "ActionState", "Transition", "is_allowed"]
 
 
 class ActionKind(enum.StrEnum):
-    """What an act does; orders have the names of `OrderKind`."""
+    """Kind of an action; kinds of orders have the values of `OrderKind`."""
 
     START = "start"
     STOP = "stop"
@@ -22,81 +22,81 @@
 
 
 class ActionState(enum.StrEnum):
-    """How far an act is."""
+    """Progress of an action."""
 
-    # Committed, and surely not sent.
+    # Committed, and not sent under its fencing number.
     RECORDED = "recorded"
-    # It may have been sent.
+    # Possibly sent: committed as sent before the call is made.
     SENT = "sent"
     DONE = "done"
     UNDONE = "undone"
     REFUSED = "refused"
-    # The host of a start that was done is gone.
+    # A completed start whose host has stopped.
     ENDED = "ended"
 
 
 _OPEN = frozenset({ActionState.RECORDED, ActionState.SENT})
-_CLOSING = frozenset({ActionState.DONE, ActionState.UNDONE, ActionState.REFUSED})
+_CLOSED = frozenset({ActionState.DONE, ActionState.UNDONE, ActionState.REFUSED})
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Action:
-    """One act as the control hosts agreed on it; times are Unix times."""
+    """A replicated action; times are Unix times."""
 
-    # Token of a start, id of an order.
+    # For starts, the token that identifies the host to the cloud.
     id: str
     kind: ActionKind
     state: ActionState = ActionState.RECORDED
-    # Handed out by the log, and higher than that of each earlier act.
+    # Fencing number, higher than that of every earlier action.
     fence: int = 0
     deployment: str = ""
     reason: str = ""
     recorded_at: float = 0.0
     changed_at: float = 0.0
-    # Of starts.
+    # Set for starts.
     offer: Offer | None = None
-    # Of stops, and of starts that are done.
+    # Set for stops and completed starts.
     host_id: str = ""
-    # Of orders.
+    # Set for orders, with the epoch of the upstream's process.
     upstream: str = ""
     upstream_epoch: int = 0
     model_key: ModelKey | None = None
     role: Role | None = None
-    # How often it was recorded again with a new fencing number.
+    # Number of times the order was committed again under a new fencing number.
     repeats: int = 0
 
     @property
     def is_open(self) -> bool:
-        """Whether it's neither done nor given up."""
+        """Whether the action is neither completed, cancelled nor refused."""
         return self.state in _OPEN
 
     @property
-    def is_host(self) -> bool:
-        """Whether it's a start whose host may live."""
+    def is_live_start(self) -> bool:
+        """Whether the action is a start whose host may be running."""
         return self.kind is ActionKind.START and (
             self.is_open or self.state is ActionState.DONE
         )
 
     @property
     def is_order(self) -> bool:
-        """Whether it goes to an upstream."""
+        """Whether the action is an order to an upstream."""
         return self.kind not in (ActionKind.START, ActionKind.STOP)
 
     @property
     def subject(self) -> str:
-        """Upstream, host or token that it concerns."""
+        """Upstream, host or token that the action applies to."""
         return self.upstream or self.host_id or self.id
 
     def to_order(self) -> UpstreamOrder:
-        """Return the message to the upstream."""
+        """Return the action as a message to its upstream."""
         return UpstreamOrder(
             self.id, OrderKind(self.kind), self.fence, self.model_key, self.role
         )
 
 
 @dataclass(frozen=True, slots=True)
-class Step:
-    """A new state of the act that has this id and fencing number."""
+class Transition:
+    """A new state for the action with this id and fencing number."""
 
     id: str
     fence: int
@@ -107,18 +107,21 @@
     @classmethod
     def of(
         cls, action: Action, state: ActionState, reason: str = "", host_id: str = ""
-    ) -> "Step":
-        """Return the step of `action` to `state`."""
+    ) -> "Transition":
+        """Return the transition of `action` to `state`."""
         return cls(action.id, action.fence, state, host_id, reason)
 
 
 def is_allowed(action: Action, state: ActionState) -> bool:
-    """Whether the act may go to `state`; to RECORDED means a new number."""
+    """Whether the action may change to `state`.
+
+    A change from SENT to RECORDED is a retry under a new fencing number.
+    """
     match action.state:
         case ActionState.RECORDED:
-            return state in _CLOSING or state is ActionState.SENT
+            return state in _CLOSED or state is ActionState.SENT
         case ActionState.SENT:
-            return state in _CLOSING or state is ActionState.RECORDED
+            return state in _CLOSED or state is ActionState.RECORDED
         case ActionState.DONE:
             return action.kind is ActionKind.START and state is ActionState.ENDED
     return False
--- a/src/pepperstep/fleet/costs.py
+++ b/src/pepperstep/fleet/costs.py
@@ -1,25 +1,25 @@
-"""Cost of the rented hosts, now and so far."""
+"""Hourly rates and accumulated costs of rented hosts."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
 from pepperstep.ports.cloud import CloudHost, PriceClass
 
-__all__ = ["CostAccount", "CostKey", "rates_of"]
+__all__ = ["CostAccount", "CostKey", "hourly_rates"]
 
 _SECONDS_PER_HOUR = 3600.0
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class CostKey:
-    """A deployment's hosts of one price class."""
+    """Key of a cost: a deployment's hosts of one price class."""
 
     deployment: str
     price_class: PriceClass
 
 
-def rates_of(hosts: Iterable[CloudHost]) -> dict[CostKey, float]:
-    """Return the money an hour that running hosts cost."""
+def hourly_rates(hosts: Iterable[CloudHost]) -> dict[CostKey, float]:
+    """Return the total price an hour of the hosts, by deployment and price class."""
     rates: dict[CostKey, float] = {}
     for host in hosts:
         key = CostKey(host.deployment, host.price_class)
@@ -28,22 +28,22 @@
 
 
 class CostAccount:
-    """Rates in force since a time, and the money spent up to it."""
+    """Accumulates costs from hourly rates that change over time."""
 
     def __init__(self) -> None:
         self.rates: dict[CostKey, float] = {}
         self.totals: dict[CostKey, float] = {}
-        # Unix time from which the rates hold, 0 before the first ones.
+        # Unix time since which the rates apply, 0 before the first rates.
         self.time = 0.0
 
     def set_rates(self, rates: Mapping[CostKey, float], time: float) -> None:
-        """Count the old rates up to `time`; the new ones hold from then on."""
+        """Add the costs up to Unix time `time`, then replace the rates."""
         self.totals = self.totals_at(time)
         self.rates = {key: rate for key, rate in rates.items() if rate}
         self.time = max(self.time, time)
 
     def totals_at(self, time: float) -> dict[CostKey, float]:
-        """Return the money spent up to Unix time `time`."""
+        """Return the costs accumulated up to Unix time `time`."""
         hours = max(0.0, time - self.time) / _SECONDS_PER_HOUR
         totals = dict(self.totals)
         for key, rate in self.rates.items():
--- a/src/pepperstep/fleet/events.py
+++ b/src/pepperstep/fleet/events.py
@@ -1,4 +1,4 @@
-"""Events that explain what was decided, the newest of which are kept."""
+"""Bounded log of events that explain the fleet's decisions."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -11,19 +11,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """What happened to `subject` at Unix time `time`, and why."""
+    """An event that concerns `subject`, with its reason; `time` is a Unix time."""
 
     time: float
     kind: str
     subject: str
     text: str
     reason: str = ""
-    # Grows by one with each event; 0 before it's in the log.
+    # Position in the log, counted from 1; 0 before the event is added.
     sequence: int = 0
 
 
 class EventLog:
-    """The last events in their order."""
+    """The newest events, oldest first."""
 
     def __init__(
         self, events: Iterable[Event] = (), last: int = 0, capacity: int = _CAPACITY
@@ -33,7 +33,7 @@
 
     @property
     def last(self) -> int:
-        """Sequence number of the newest event, 0 for none."""
+        """Sequence number of the newest event, 0 if there is none."""
         return self._last
 
     def add(self, event: Event) -> None:
@@ -42,5 +42,5 @@
         self._events.append(replace(event, sequence=self._last))
 
     def since(self, sequence: int = 0) -> list[Event]:
-        """Return the kept events with a higher sequence number."""
+        """Return the retained events with a higher sequence number."""
         return [event for event in self._events if event.sequence > sequence]
--- a/src/pepperstep/fleet/fleet.py
+++ b/src/pepperstep/fleet/fleet.py
@@ -1,7 +1,8 @@
-"""The fleet loop: on the leader it rents hosts and orders models.
+"""Control loop of the fleet: the leader starts and stops hosts and rolls out models.
 
-Each act is committed before it's sent, and is finished or undone by the next
-leader. Hosts start their engines by themselves: see `pepperstep.fleet.hosts`.
+Each action is committed to the replicated log before it is sent, so that the next
+leader can complete or cancel it. The image of a host starts its engine: see
+`pepperstep.fleet.hosts`.
 """
 
 import random
@@ -14,16 +15,16 @@
 from pepperstep.configuration import Configuration
 from pepperstep.errors import Failure
 from pepperstep.fleet.actions import Action, ActionKind
-from pepperstep.fleet.costs import rates_of
-from pepperstep.fleet.hosts import TOKEN_PREFIX, HostKeeper
+from pepperstep.fleet.costs import hourly_rates
+from pepperstep.fleet.hosts import TOKEN_PREFIX, HostManager
 from pepperstep.fleet.machine import MACHINE_NAME, FleetStateMachine
-from pepperstep.fleet.notices import OnReclaim, ReclaimWatch
+from pepperstep.fleet.notices import OnReclaim, ReclaimPoller
 from pepperstep.fleet.observer import DemandSource, Observer, UpstreamRegistry
 from pepperstep.fleet.orders import OrderSender
 from pepperstep.fleet.plan import Decision, StartHost, plan_fleet
 from pepperstep.fleet.policies import POLICIES
 from pepperstep.fleet.record import FleetRecord
-from pepperstep.fleet.rollout import OrderEngine, plan_models
+from pepperstep.fleet.rollout import EngineOrder, plan_models
 from pepperstep.fleet.tuning import FleetTuning
 from pepperstep.fleet.weights import Weights
 from pepperstep.ports import Agreement, Timers
@@ -33,12 +34,12 @@
 
 __all__ = ["Fleet", "FleetPorts"]
 
-_ACTS_PER_COMMIT = 200
+_ACTIONS_PER_COMMIT = 200
 
 
 @dataclass(frozen=True, slots=True)
 class FleetPorts:
-    """What the fleet needs from outside."""
+    """External dependencies of `Fleet`."""
 
     host: str
     agreement: Agreement
@@ -51,7 +52,7 @@
 
 
 class Fleet:
-    """The fleet's part of a control host; it acts only while the host leads."""
+    """Runs the control loop on a control host, active only while the host leads."""
 
     def __init__(
         self,
@@ -65,7 +66,9 @@
         tuning: FleetTuning | None = None,
     ):
         if policy not in POLICIES:
-            raise ValueError(f"No policy {policy}, one of {', '.join(POLICIES)}.")
+            raise ValueError(
+                f"Unknown policy {policy!r}, expected one of {', '.join(POLICIES)}."
+            )
         self.machine = machine
         self._ports = ports
         self._configuration = configuration
@@ -83,22 +86,22 @@
         on_reclaim: OnReclaim,
         **options,
     ) -> "Fleet":
-        """Return a fleet whose record is registered with the log.
+        """Return a fleet whose state machine is registered with the replicated log.
 
-        Must be called on each control host, before the log runs.
-        `configuration` gives what is in force; `options` are those of `Fleet`.
+        Call it on every control host before the log runs. `configuration` returns
+        the configuration in force; `options` are passed to `Fleet`.
         """
         machine = FleetStateMachine()
         ports.agreement.register(MACHINE_NAME, machine)
         return cls(ports, machine, configuration, on_reclaim, **options)
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED) -> None:
-        """Take part until cancelled."""
+        """Run the control loop until cancelled."""
         task_status.started()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._decide_always)
+            nursery.start_soon(self._run_decisions)
             async for _ in self._ports.timers.subscribe(self._tuning.notice_period):
-                await self._guard(self._follow_leadership)
+                await self._log_errors(self._follow_leadership)
 
     async def _follow_leadership(self) -> None:
         if not self._ports.agreement.is_leader:
@@ -106,24 +109,24 @@
             return
         if self._epoch is None or not self._epoch.record.is_valid:
             self._epoch = None
-            self._epoch = await self._begin()
-        await self._epoch.watch.poll()
+            self._epoch = await self._begin_epoch()
+        await self._epoch.reclaim_poller.poll()
 
-    async def _decide_always(self) -> None:
+    async def _run_decisions(self) -> None:
         async for _ in self._ports.timers.subscribe(self._tuning.period):
             epoch = self._epoch
             if epoch is not None and epoch.record.is_valid:
-                await self._guard(epoch.decide)
+                await self._log_errors(epoch.decide)
 
-    async def _guard(self, work: Callable) -> None:
+    async def _log_errors(self, function: Callable) -> None:
         try:
-            await work()
+            await function()
         except Failure as failure:
             logging.warning("fleet: %s", failure.text)
         except OSError as error:
-            logging.warning("fleet: The cloud can't be reached: %s", error)
+            logging.warning("fleet: Cloud API unreachable: %s", error)
 
-    async def _begin(self) -> "_Epoch":
+    async def _begin_epoch(self) -> "_Epoch":
         ports = self._ports
         record = FleetRecord(
             ports.host,
@@ -146,7 +149,7 @@
 
 
 class _Epoch:
-    """The leader's work in one epoch."""
+    """Control loop of one leadership epoch."""
 
     def __init__(
         self,
@@ -160,7 +163,9 @@
     ):
         timers = ports.timers
         self.record = record
-        self.watch = ReclaimWatch(record, ports.cloud, timers, tuning, on_reclaim)
+        self.reclaim_poller = ReclaimPoller(
+            record, ports.cloud, timers, tuning, on_reclaim
+        )
         self._ports = ports
         self._configuration = configuration
         self._policy = policy
@@ -169,61 +174,69 @@
         self._observer = Observer(
             record.machine, ports.registry, self._weights, timers, tuning, demand
         )
-        self._keeper = HostKeeper(record, ports.cloud, timers, ports.rng, tuning)
-        self._sender = OrderSender(record, ports.upstreams, timers, tuning)
+        self._host_manager = HostManager(record, ports.cloud, timers, ports.rng, tuning)
+        self._order_sender = OrderSender(record, ports.upstreams, timers, tuning)
 
     async def decide(self) -> None:
-        """Look, decide, record, then act."""
+        """Plan from the observed state, commit the plan, then carry it out."""
         configuration = self._configuration()
         keys = [each.model_key for each in configuration.deployments.values()]
         await self._weights.refresh(keys)
         try:
             await self._decide_hosts(configuration)
         except OSError as error:
-            logging.warning("fleet: The cloud can't be reached: %s", error)
+            logging.warning("fleet: Cloud API unreachable: %s", error)
         await self._decide_models(configuration)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._keeper.advance, self._observer.is_drained)
+            nursery.start_soon(self._host_manager.advance, self._observer.is_drained)
             nursery.start_soon(self._send_orders, configuration)
 
     async def _decide_hosts(self, configuration: Configuration) -> None:
-        hosts = await self._keeper.list_hosts()
-        self._observer.note_hosts(hosts)
-        await self._note_costs(hosts)
+        hosts = await self._host_manager.list_hosts()
+        self._observer.update_hosts(hosts)
+        await self._commit_rates(hosts)
         offers = None
         with self._ports.timers.move_on_after(self._tuning.cloud_timeout):
             offers = await self._ports.cloud.list_offers()
         if offers is None:
-            raise OSError("The cloud doesn't answer.")
+            raise OSError("Listing offers timed out.")
         for view in self._observer.deployment_views(configuration, offers):
             decisions = plan_fleet([view], self._policy)
-            await self._record([self._act_of(decision) for decision in decisions])
-            # Lets others run, as the lease must be renewed meanwhile.
+            await self._commit_actions(
+                [self._action_from_decision(decision) for decision in decisions]
+            )
+            # Yields to other tasks, so that the lease is renewed between deployments.
             await self._ports.timers.sleep(0)
 
     async def _decide_models(self, configuration: Configuration) -> None:
         views = self._observer.rollout_views(configuration)
         orders = plan_models(views, self._tuning.load_window)
-        await self._record([self._order_of(order) for order in orders] + self._drains())
+        await self._commit_actions(
+            [self._action_from_order(order) for order in orders] + self._drain_orders()
+        )
 
-    async def _record(self, actions: list[Action]) -> None:
-        for start in range(0, len(actions), _ACTS_PER_COMMIT):
+    async def _commit_actions(self, actions: list[Action]) -> None:
+        for start in range(0, len(actions), _ACTIONS_PER_COMMIT):
             if not self.record.is_valid:
                 return
-            await self.record.commit(actions=actions[start : start + _ACTS_PER_COMMIT])
+            await self.record.commit(
+                actions=actions[start : start + _ACTIONS_PER_COMMIT]
+            )
 
     async def _send_orders(self, configuration: Configuration) -> None:
         upstreams = {each.name: each for each in self._ports.registry.upstreams()}
-        await self._sender.advance(upstreams, self._ignoring(upstreams, configuration))
+        await self._order_sender.advance(
+            upstreams, self._upstreams_without_fencing(upstreams, configuration)
+        )
 
-    async def _note_costs(self, hosts: list[CloudHost]) -> None:
+    async def _commit_rates(self, hosts: list[CloudHost]) -> None:
         costs = self.record.machine.costs
-        rates = rates_of(hosts)
+        rates = hourly_rates(hosts)
         age = self._ports.timers.wall() - costs.time
         if rates != costs.rates or age >= self._tuning.cost_period:
             await self.record.commit(rates=rates)
 
-    def _act_of(self, decision: Decision) -> Action:
+    def _action_from_decision(self, decision: Decision) -> Action:
         if isinstance(decision, StartHost):
             return Action(
                 id=self.record.new_id(TOKEN_PREFIX),
@@ -240,8 +253,8 @@
             reason=decision.reason,
         )
 
-    def _drains(self) -> list[Action]:
-        """Return orders to the engines on hosts that are to be stopped."""
+    def _drain_orders(self) -> list[Action]:
+        """Return drain orders for the engines on hosts with an open stop."""
         return [
             Action(
                 id=self.record.new_id("order"),
@@ -256,7 +269,7 @@
             for engine in self._observer.undrained_engines(stop.host_id)
         ]
 
-    def _order_of(self, order: OrderEngine) -> Action:
+    def _action_from_order(self, order: EngineOrder) -> Action:
         return Action(
             id=self.record.new_id("order"),
             kind=order.kind,
@@ -268,8 +281,10 @@
             reason=order.reason,
         )
 
-    def _ignoring(self, upstreams: dict, configuration: Configuration) -> frozenset:
-        """Return the upstreams that don't check fencing numbers."""
+    def _upstreams_without_fencing(
+        self, upstreams: dict, configuration: Configuration
+    ) -> frozenset:
+        """Return the names of upstreams that don't check fencing numbers."""
         deployments = {
             action.upstream: configuration.deployments.get(action.deployment)
             for action in self.record.machine.open_actions()
--- a/src/pepperstep/fleet/history.py
+++ b/src/pepperstep/fleet/history.py
@@ -1,4 +1,4 @@
-"""What each pool of hosts to rent did lately: reclaims and refused starts."""
+"""History of reclaims and refused starts, by pool of hosts."""
 
 import enum
 import math
@@ -6,16 +6,16 @@
 
 from pepperstep.ports.cloud import CloudHost, Offer, PriceClass
 
-__all__ = ["Mark", "MarkKind", "Pool", "PoolKey", "decayed_count"]
+__all__ = ["PoolEvent", "PoolEventKind", "PoolHistory", "PoolKey", "decayed_count"]
 
-_KEPT_TIMES = 16
-# Reclaims of several hosts within this time are one wave.
+_MAX_TIMES = 16
+# Reclaims within this time of the last counted one belong to the same wave.
 _WAVE_SECONDS = 60.0
 _HALF_LIFE_SECONDS = 3600.0
 
 
-class MarkKind(enum.StrEnum):
-    """What a pool did."""
+class PoolEventKind(enum.StrEnum):
+    """Kind of a `PoolEvent`."""
 
     RECLAIMED = "reclaimed"
     REFUSED = "refused"
@@ -40,50 +40,50 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Mark:
-    """Something that a pool did; no start is asked for until `blocked_until`."""
+class PoolEvent:
+    """A reclaim, refusal or start; blocks starts in the pool until `blocked_until`."""
 
     key: PoolKey
-    kind: MarkKind
+    kind: PoolEventKind
     blocked_until: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Pool:
-    """The last times, as Unix times, at which a pool reclaimed or refused."""
+class PoolHistory:
+    """Unix times of a pool's latest reclaims and refusals."""
 
     reclaims: tuple[float, ...] = ()
     refusals: tuple[float, ...] = ()
-    # Refusals since the last start that was not refused.
+    # Consecutive refusals since the last successful start.
     refusals_in_row: int = 0
     blocked_until: float = 0.0
 
-    def marked(self, mark: Mark, time: float) -> "Pool":
-        """Return the pool after a mark at `time`."""
-        blocked_until = max(self.blocked_until, mark.blocked_until)
-        match mark.kind:
-            case MarkKind.STARTED if time >= self.blocked_until:
+    def with_event(self, event: PoolEvent, time: float) -> "PoolHistory":
+        """Return the history with an event at Unix time `time` applied."""
+        blocked_until = max(self.blocked_until, event.blocked_until)
+        match event.kind:
+            case PoolEventKind.STARTED if time >= self.blocked_until:
                 return replace(self, refusals_in_row=0)
-            case MarkKind.STARTED:
+            case PoolEventKind.STARTED:
                 return self
-            case MarkKind.REFUSED if time < self.blocked_until:
-                # One of several starts that were asked for together.
+            case PoolEventKind.REFUSED if time < self.blocked_until:
+                # One of several starts that were sent together: counts once.
                 return replace(self, blocked_until=blocked_until)
-            case MarkKind.REFUSED:
+            case PoolEventKind.REFUSED:
                 return replace(
                     self,
-                    refusals=(*self.refusals, time)[-_KEPT_TIMES:],
+                    refusals=(*self.refusals, time)[-_MAX_TIMES:],
                     refusals_in_row=self.refusals_in_row + 1,
                     blocked_until=blocked_until,
                 )
         is_new_wave = not self.reclaims or time - self.reclaims[-1] > _WAVE_SECONDS
         reclaims = (*self.reclaims, time) if is_new_wave else self.reclaims
         return replace(
-            self, reclaims=reclaims[-_KEPT_TIMES:], blocked_until=blocked_until
+            self, reclaims=reclaims[-_MAX_TIMES:], blocked_until=blocked_until
         )
 
 
 def decayed_count(times: tuple[float, ...], now: float) -> float:
-    """Return the number of times, each of which counts half after an hour."""
+    """Return the count of `times`, decayed with a half-life of one hour."""
     scale = math.log(2) / _HALF_LIFE_SECONDS
     return sum(math.exp(-scale * max(0.0, now - time)) for time in times)
--- a/src/pepperstep/fleet/messages.py
+++ b/src/pepperstep/fleet/messages.py
@@ -1,30 +1,30 @@
-"""Commands and state of the fleet as messages, and back."""
+"""Conversion of the fleet's commands and state to and from protobuf messages."""
 
 from pepperstep.entities import ModelKey, Role
-from pepperstep.fleet.actions import Action, ActionKind, ActionState, Step
+from pepperstep.fleet.actions import Action, ActionKind, ActionState, Transition
 from pepperstep.fleet.events import Event
-from pepperstep.fleet.history import Mark, MarkKind, Pool, PoolKey
+from pepperstep.fleet.history import PoolEvent, PoolEventKind, PoolHistory, PoolKey
 from pepperstep.ports.cloud import Offer, PriceClass, ReclaimNotice
 from pepperstep.proto import fleet_pb2 as pb
 
 __all__ = [
-    "act_from",
-    "act_to",
-    "event_from",
-    "event_to",
-    "mark_from",
-    "mark_to",
-    "notice_from",
-    "notice_to",
-    "pool_from",
-    "pool_to",
-    "step_from",
-    "step_to",
+    "action_from_message",
+    "action_to_message",
+    "event_from_message",
+    "event_to_message",
+    "pool_event_from_message",
+    "pool_event_to_message",
+    "notice_from_message",
+    "notice_to_message",
+    "pool_from_message",
+    "pool_to_message",
+    "transition_from_message",
+    "transition_to_message",
 ]
 
 
-def act_to(action: Action) -> pb.FleetAct:
-    """Return the act as a message."""
+def action_to_message(action: Action) -> pb.FleetAct:
+    """Return the action as a message."""
     message = pb.FleetAct(
         id=action.id,
         kind=action.kind,
@@ -41,7 +41,7 @@
         repeats=action.repeats,
     )
     if action.offer is not None:
-        message.offer.CopyFrom(_offer_to(action.offer))
+        message.offer.CopyFrom(_offer_to_message(action.offer))
     if action.model_key is not None:
         key = action.model_key
         message.model.CopyFrom(
@@ -50,9 +50,9 @@
     return message
 
 
-def act_from(message: pb.FleetAct) -> Action:
-    """Return the act in a message."""
-    offer = _offer_from(message.offer) if message.HasField("offer") else None
+def action_from_message(message: pb.FleetAct) -> Action:
+    """Return the action in a message."""
+    offer = _offer_from_message(message.offer) if message.HasField("offer") else None
     key = None
     if message.HasField("model"):
         found = message.model
@@ -76,20 +76,20 @@
     )
 
 
-def step_to(step: Step) -> pb.FleetStep:
-    """Return the step as a message."""
+def transition_to_message(transition: Transition) -> pb.FleetStep:
+    """Return the transition as a message."""
     return pb.FleetStep(
-        id=step.id,
-        fence=step.fence,
-        state=step.state,
-        host_id=step.host_id,
-        reason=step.reason,
+        id=transition.id,
+        fence=transition.fence,
+        state=transition.state,
+        host_id=transition.host_id,
+        reason=transition.reason,
     )
 
 
-def step_from(message: pb.FleetStep) -> Step:
-    """Return the step in a message."""
-    return Step(
+def transition_from_message(message: pb.FleetStep) -> Transition:
+    """Return the transition in a message."""
+    return Transition(
         message.id,
         message.fence,
         ActionState(message.state),
@@ -98,35 +98,39 @@
     )
 
 
-def notice_to(notice: ReclaimNotice, is_handed: bool = False) -> pb.FleetNotice:
+def notice_to_message(notice: ReclaimNotice, is_handed: bool = False) -> pb.FleetNotice:
     """Return the notice as a message."""
     return pb.FleetNotice(
         id=notice.id, host_id=notice.host_id, at=notice.at, is_handed=is_handed
     )
 
 
-def notice_from(message: pb.FleetNotice) -> ReclaimNotice:
+def notice_from_message(message: pb.FleetNotice) -> ReclaimNotice:
     """Return the notice in a message."""
     return ReclaimNotice(message.id, message.host_id, message.at)
 
 
-def mark_to(mark: Mark) -> pb.FleetMark:
-    """Return the mark as a message."""
+def pool_event_to_message(event: PoolEvent) -> pb.FleetMark:
+    """Return the pool event as a message."""
     return pb.FleetMark(
-        zone=mark.key.zone,
-        machine=mark.key.machine,
-        price_class=mark.key.price_class,
-        kind=mark.kind,
-        blocked_until=mark.blocked_until,
+        zone=event.key.zone,
+        machine=event.key.machine,
+        price_class=event.key.price_class,
+        kind=event.kind,
+        blocked_until=event.blocked_until,
     )
 
 
-def mark_from(message: pb.FleetMark) -> Mark:
-    """Return the mark in a message."""
-    return Mark(_key_from(message), MarkKind(message.kind), message.blocked_until)
+def pool_event_from_message(message: pb.FleetMark) -> PoolEvent:
+    """Return the pool event in a message."""
+    return PoolEvent(
+        _pool_key_from_message(message),
+        PoolEventKind(message.kind),
+        message.blocked_until,
+    )
 
 
-def pool_to(key: PoolKey, pool: Pool) -> pb.FleetPool:
+def pool_to_message(key: PoolKey, pool: PoolHistory) -> pb.FleetPool:
     """Return a pool's history as a message."""
     return pb.FleetPool(
         zone=key.zone,
@@ -139,18 +143,18 @@
     )
 
 
-def pool_from(message: pb.FleetPool) -> tuple[PoolKey, Pool]:
-    """Return the pool in a message."""
-    pool = Pool(
+def pool_from_message(message: pb.FleetPool) -> tuple[PoolKey, PoolHistory]:
+    """Return the key and history of the pool in a message."""
+    pool = PoolHistory(
         tuple(message.reclaims),
         tuple(message.refusals),
         message.refusals_in_row,
         message.blocked_until,
     )
-    return _key_from(message), pool
+    return _pool_key_from_message(message), pool
 
 
-def event_to(event: Event) -> pb.FleetEvent:
+def event_to_message(event: Event) -> pb.FleetEvent:
     """Return the event as a message."""
     return pb.FleetEvent(
         sequence=event.sequence,
@@ -162,7 +166,7 @@
     )
 
 
-def event_from(message: pb.FleetEvent) -> Event:
+def event_from_message(message: pb.FleetEvent) -> Event:
     """Return the event in a message."""
     return Event(
         message.time,
@@ -174,7 +178,7 @@
     )
 
 
-def _offer_to(offer: Offer) -> pb.FleetOffer:
+def _offer_to_message(offer: Offer) -> pb.FleetOffer:
     return pb.FleetOffer(
         zone=offer.zone,
         machine=offer.machine,
@@ -183,7 +187,7 @@
     )
 
 
-def _offer_from(message: pb.FleetOffer) -> Offer:
+def _offer_from_message(message: pb.FleetOffer) -> Offer:
     return Offer(
         message.zone,
         message.machine,
@@ -192,5 +196,5 @@
     )
 
 
-def _key_from(message: pb.FleetMark | pb.FleetPool) -> PoolKey:
+def _pool_key_from_message(message: pb.FleetMark | pb.FleetPool) -> PoolKey:
     return PoolKey(message.zone, message.machine, PriceClass(message.price_class))
--- a/src/pepperstep/fleet/notices.py
+++ b/src/pepperstep/fleet/notices.py
@@ -1,32 +1,32 @@
-"""Takes the cloud's reclaim notices in and hands them on.
+"""Polling of the cloud's reclaim notices and their delivery to the handler.
 
-A notice is committed before it's handed on, and marked once it was; the next
-leader goes on from there. A leader that dies between the two makes the next
-one hand the same notice on again, under the same id.
+A notice is committed before it is delivered, and committed as delivered afterwards, so
+that the next leader can resume. If a leader fails between delivery and the second
+commit, the next leader delivers the notice again under the same id.
 """
 
 from collections.abc import Awaitable, Callable
 
 from absl import logging
 
-from pepperstep.fleet.history import Mark, MarkKind, PoolKey
+from pepperstep.fleet.history import PoolEvent, PoolEventKind, PoolKey
 from pepperstep.fleet.machine import FleetStateMachine
 from pepperstep.fleet.record import FleetRecord
 from pepperstep.fleet.tuning import FleetTuning
 from pepperstep.ports import Timers
 from pepperstep.ports.cloud import Cloud, ReclaimNotice
 
-__all__ = ["OnReclaim", "ReclaimWatch"]
+__all__ = ["OnReclaim", "ReclaimPoller"]
 
-# Takes notices that are new; an id may come again after a change of leader.
+# Handles new notices; after a change of leader an id may be delivered twice.
 OnReclaim = Callable[[list[ReclaimNotice]], Awaitable[None]]
 
-# Time after a zone's reclaim during which its pools start nothing.
-_CLOSED_SECONDS = 60.0
+# Time after a host's reclaim during which its pool starts no hosts.
+_RECLAIM_PAUSE_SECONDS = 60.0
 
 
-class ReclaimWatch:
-    """Reclaim notices in one epoch."""
+class ReclaimPoller:
+    """Polls and delivers reclaim notices during one leadership epoch."""
 
     def __init__(
         self,
@@ -43,48 +43,50 @@
         self._on_reclaim = on_reclaim
 
     async def poll(self) -> None:
-        """Commit new notices and hand on all that weren't yet.
+        """Commit new notices and deliver all undelivered ones.
 
-        Raise OSError if the cloud can't be reached.
+        Raise OSError if the cloud API is unreachable.
         """
         machine = self._record.machine
-        await self._hand_on(machine)
+        await self._deliver(machine)
         notices = None
         with self._timers.move_on_after(self._tuning.cloud_timeout):
             notices = await self._cloud.list_notices(machine.last_notice)
         if notices is None:
-            raise OSError("The cloud doesn't answer.")
+            raise OSError("Listing reclaim notices timed out.")
         new = [notice for notice in notices if notice.id > machine.last_notice]
         if new and self._record.is_valid:
-            await self._record.commit(notices=new, marks=self._marks(machine, new))
-            await self._hand_on(machine)
+            await self._record.commit(
+                notices=new, pool_events=self._reclaim_events(machine, new)
+            )
+            await self._deliver(machine)
 
-    async def _hand_on(self, machine: FleetStateMachine) -> None:
-        waiting = [
+    async def _deliver(self, machine: FleetStateMachine) -> None:
+        undelivered = [
             notice
             for notice in machine.notices.values()
             if notice.id not in machine.handed_notices
         ]
-        if not waiting or not self._record.is_valid:
+        if not undelivered or not self._record.is_valid:
             return
-        logging.info("fleet: Hands on %d reclaim notices.", len(waiting))
-        is_handed = False
-        with self._timers.move_on_after(self._tuning.hand_on_timeout):
-            await self._on_reclaim(waiting)
-            is_handed = True
-        if is_handed:
-            ids = [notice.id for notice in waiting]
+        logging.info("fleet: Delivering %d reclaim notices.", len(undelivered))
+        is_delivered = False
+        with self._timers.move_on_after(self._tuning.delivery_timeout):
+            await self._on_reclaim(undelivered)
+            is_delivered = True
+        if is_delivered:
+            ids = [notice.id for notice in undelivered]
             await self._record.commit(handed_notices=ids)
 
-    def _marks(
+    def _reclaim_events(
         self, machine: FleetStateMachine, notices: list[ReclaimNotice]
-    ) -> list[Mark]:
-        offers = {action.host_id: action.offer for action in machine.hosts()}
-        marks = {}
+    ) -> list[PoolEvent]:
+        offers = {action.host_id: action.offer for action in machine.live_starts()}
+        pool_events = {}
         for notice in notices:
             offer = offers.get(notice.host_id)
             if offer is not None:
                 key = PoolKey.of(offer)
-                until = notice.at + _CLOSED_SECONDS
-                marks[key] = Mark(key, MarkKind.RECLAIMED, until)
-        return list(marks.values())
+                until = notice.at + _RECLAIM_PAUSE_SECONDS
+                pool_events[key] = PoolEvent(key, PoolEventKind.RECLAIMED, until)
+        return list(pool_events.values())
--- a/src/pepperstep/fleet/observer.py
+++ b/src/pepperstep/fleet/observer.py
@@ -1,4 +1,4 @@
-"""Puts together what the decisions look at, from all that the leader sees."""
+"""Views of deployments, hosts and engines as input for planning."""
 
 from collections import defaultdict
 from collections.abc import Callable, Iterable, Iterator
@@ -15,7 +15,7 @@
     needed_replicas,
     startable_replicas,
 )
-from pepperstep.fleet.history import Pool, PoolKey, decayed_count
+from pepperstep.fleet.history import PoolHistory, PoolKey, decayed_count
 from pepperstep.fleet.hosts import TOKEN_PREFIX
 from pepperstep.fleet.machine import FleetStateMachine
 from pepperstep.fleet.rollout import EngineView, RolloutView
@@ -27,37 +27,37 @@
 
 __all__ = ["DemandSource", "Observer", "UpstreamRegistry"]
 
-# Gives the present demand of a deployment by name, None if there is none.
+# Returns the current demand of a deployment by name, None if there is none.
 DemandSource = Callable[[str], Demand | None]
 
 
 class UpstreamRegistry(Protocol):
-    """Upstreams that hold a lease, as the leader knows them."""
+    """Registry of the upstreams that hold a lease."""
 
     def upstreams(self) -> Iterable[Upstream]:
-        """Return them all, also those that are leaving."""
+        """Return all upstreams, including those that are leaving."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Scene:
-    """One look at the outside."""
+class _Snapshot:
+    """Engines, starts and orders at one moment."""
 
-    # Engines by host.
+    # Engines by host id.
     engines: dict[str, list[Upstream]]
-    # Starts by deployment.
+    # Live starts by deployment.
     starts: dict[str, list[Action]]
-    # Hosts that are being taken back or stopped.
+    # Ids of hosts that are being reclaimed or stopped.
     leaving: frozenset[str]
-    # Orders by the upstream's name and epoch, the latest ones last.
+    # Orders by the name and epoch of the upstream, in order of commit.
     orders: dict[tuple[str, int], list[Action]]
 
     def orders_of(self, engine: Upstream) -> list[Action]:
-        """Return the orders to one life of an engine."""
+        """Return the orders to the current process of an engine."""
         return self.orders.get((engine.name, engine.epoch), [])
 
 
 class Observer:
-    """Views of the deployments in one epoch, with what must be remembered."""
+    """Builds views for planning, and tracks demand and readiness during one epoch."""
 
     def __init__(
         self,
@@ -79,59 +79,64 @@
         self._needs: dict[str, Need] = {}
         self._unready_since: dict[str, float] = {}
         self._settled_since: dict[str, float] = {}
-        # Hosts of the last listing that the fleet didn't start.
-        self._foreign: list[CloudHost] = []
+        # Hosts in the last listing that the fleet didn't start.
+        self._unmanaged_hosts: list[CloudHost] = []
 
-    def note_hosts(self, hosts: list[CloudHost]) -> None:
-        """Keep what a listing shows besides the record."""
-        self._foreign = [
+    def update_hosts(self, hosts: list[CloudHost]) -> None:
+        """Store the hosts of a listing that the fleet didn't start."""
+        self._unmanaged_hosts = [
             host for host in hosts if not host.token.startswith(TOKEN_PREFIX + "-")
         ]
 
     def deployment_views(
         self, configuration: Configuration, offers: list[Offer]
     ) -> Iterator[DeploymentView]:
-        """Yield the deployments with their hosts and pools."""
-        scene = self._look()
-        self._note_readiness(scene)
+        """Yield a view of each deployment with its hosts and pools."""
+        snapshot = self._take_snapshot()
+        self._update_unready(snapshot)
         for name, deployment in sorted(configuration.deployments.items()):
-            yield self._deployment_view(name, deployment, offers, scene)
+            yield self._deployment_view(name, deployment, offers, snapshot)
 
     def rollout_views(self, configuration: Configuration) -> list[RolloutView]:
-        """Return the deployments with their engines."""
-        scene = self._look()
+        """Return a view of each deployment with its engines.
+
+        Deployments whose model the weight store lacks are left out.
+        """
+        snapshot = self._take_snapshot()
         return [
-            self._rollout_view(name, deployment, scene)
+            self._rollout_view(name, deployment, snapshot)
             for name, deployment in sorted(configuration.deployments.items())
             if self._weights.is_loadable(deployment.model_key)
         ]
 
     def undrained_engines(self, host_id: str) -> list[Upstream]:
-        """Return the engines on a host that weren't ordered to drain."""
-        scene = self._look()
+        """Return the engines on a host without a drain order."""
+        snapshot = self._take_snapshot()
         return [
             engine
-            for engine in scene.engines.get(host_id, [])
+            for engine in snapshot.engines.get(host_id, [])
             if not engine.is_leaving
-            and not any(self._is_draining(action) for action in scene.orders_of(engine))
+            and not any(
+                self._blocks_drain(action) for action in snapshot.orders_of(engine)
+            )
         ]
 
     def is_drained(self, host_id: str) -> bool:
-        """Whether a host's engines run nothing, and take nothing new."""
+        """Whether all engines on a host are leaving and have no requests left."""
         return all(
             engine.is_leaving and not engine.load.running + engine.load.waiting
-            for engine in self._look().engines.get(host_id, [])
+            for engine in self._take_snapshot().engines.get(host_id, [])
         )
 
-    def _is_draining(self, action: Action) -> bool:
-        """Whether the act stands against another order to drain."""
+    def _blocks_drain(self, action: Action) -> bool:
+        """Whether the action makes another drain order unnecessary for now."""
         if action.kind is not ActionKind.DRAIN:
             return False
         age = self._timers.wall() - action.changed_at
         is_refused = action.state is ActionState.REFUSED
         return action.is_open or not is_refused or age < self._tuning.refused_pause
 
-    def _look(self) -> _Scene:
+    def _take_snapshot(self) -> _Snapshot:
         engines = defaultdict(list)
         for upstream in self._registry.upstreams():
             if upstream.kind is UpstreamKind.ENGINE:
@@ -140,13 +145,15 @@
         for action in self._machine.open_actions():
             if action.kind is ActionKind.STOP:
                 leaving.add(action.host_id)
-        for host in self._foreign:
+        for host in self._unmanaged_hosts:
             if host.state is HostState.RECLAIMING:
                 leaving.add(host.id)
         starts = defaultdict(list)
-        for action in self._machine.hosts():
+        for action in self._machine.live_starts():
             starts[action.deployment].append(action)
-        return _Scene(dict(engines), dict(starts), frozenset(leaving), self._orders())
+        return _Snapshot(
+            dict(engines), dict(starts), frozenset(leaving), self._orders()
+        )
 
     def _orders(self) -> dict[tuple[str, int], list[Action]]:
         orders = defaultdict(list)
@@ -160,13 +167,13 @@
         name: str,
         deployment: Deployment,
         offers: list[Offer],
-        scene: _Scene,
+        snapshot: _Snapshot,
     ) -> DeploymentView:
-        hosts = self._host_views(name, scene)
-        need = self._need(name, deployment, hosts, scene)
+        hosts = self._host_views(name, snapshot)
+        need = self._compute_need(name, deployment, hosts, snapshot)
         pools = self._pool_views(deployment, offers, hosts)
         elapsed = self._timers.now() - self._began_at
-        has_seen = any(host.is_ready for host in hosts)
+        has_ready_host = any(host.is_ready for host in hosts)
         return DeploymentView(
             name,
             need,
@@ -174,23 +181,24 @@
             tuple(pools),
             deployment.max_replicas,
             deployment.cost_weight,
-            self._startable(deployment, pools),
-            has_seen and elapsed >= self._tuning.peak_window,
+            self._startable_replicas(deployment, pools),
+            has_ready_host and elapsed >= self._tuning.peak_window,
         )
 
-    def _host_views(self, name: str, scene: _Scene) -> list[HostView]:
+    def _host_views(self, name: str, snapshot: _Snapshot) -> list[HostView]:
         views = [
-            self._host_view(action, scene) for action in scene.starts.get(name, [])
+            self._host_view(action, snapshot)
+            for action in snapshot.starts.get(name, [])
         ]
-        for host in self._foreign:
+        for host in self._unmanaged_hosts:
             if host.deployment == name:
-                is_leaving = host.id in scene.leaving
+                is_leaving = host.id in snapshot.leaving
                 key = PoolKey.of(host)
-                ready = _is_ready(scene, host.id)
+                ready = _is_ready(snapshot, host.id)
                 views.append(HostView("", host.id, key, host.price, ready, is_leaving))
         return views
 
-    def _host_view(self, action: Action, scene: _Scene) -> HostView:
+    def _host_view(self, action: Action, snapshot: _Snapshot) -> HostView:
         since = self._unready_since.get(action.host_id)
         unready_for = 0.0 if since is None else self._timers.now() - since
         return HostView(
@@ -198,55 +206,61 @@
             action.host_id,
             PoolKey.of(action.offer),
             action.offer.price,
-            _is_ready(scene, action.host_id),
-            action.host_id != "" and action.host_id in scene.leaving,
+            _is_ready(snapshot, action.host_id),
+            action.host_id != "" and action.host_id in snapshot.leaving,
             unready_for > self._tuning.start_timeout,
-            _busy(scene, action.host_id),
+            _active_requests(snapshot, action.host_id),
         )
 
-    def _note_readiness(self, scene: _Scene) -> None:
+    def _update_unready(self, snapshot: _Snapshot) -> None:
         now = self._timers.now()
         self._unready_since = {
             action.host_id: self._unready_since.get(action.host_id, now)
-            for action in self._machine.hosts()
+            for action in self._machine.live_starts()
             if action.state is ActionState.DONE
-            and not _is_ready(scene, action.host_id)
-            and not _waits_for_load(scene, action.host_id)
+            and not _is_ready(snapshot, action.host_id)
+            and not _awaits_first_load(snapshot, action.host_id)
         }
 
-    def _need(
+    def _compute_need(
         self,
         name: str,
         deployment: Deployment,
         hosts: list[HostView],
-        scene: _Scene,
+        snapshot: _Snapshot,
     ) -> Need:
-        demand = self._measured(name, hosts, scene)
+        demand = self._measure_demand(name, hosts, snapshot)
         peak = self._peaks.setdefault(name, PeakDemand(self._tuning.peak_window))
-        peak_demand = peak.note(self._timers.now(), demand)
+        peak_demand = peak.add(self._timers.now(), demand)
         self._needs[name] = needed_replicas(peak_demand, deployment)
         return self._needs[name]
 
-    def _measured(self, name: str, hosts: list[HostView], scene: _Scene) -> Demand:
+    def _measure_demand(
+        self, name: str, hosts: list[HostView], snapshot: _Snapshot
+    ) -> Demand:
         engines = [
-            engine for host in hosts for engine in scene.engines.get(host.host_id, [])
+            engine
+            for host in hosts
+            for engine in snapshot.engines.get(host.host_id, [])
         ]
         busy = sum(engine.load.running + engine.load.waiting for engine in engines)
         slots = min((engine.slots for engine in engines), default=Demand().slots)
-        steps = [e.load.decode_seconds for e in engines if e.load.running]
-        step = sum(steps) / len(steps) if steps else 0.0
+        token_seconds = [e.load.decode_seconds for e in engines if e.load.running]
+        mean_token_seconds = (
+            sum(token_seconds) / len(token_seconds) if token_seconds else 0.0
+        )
         demand = self._demand(name) or Demand()
         return replace(
             demand,
             busy=max(busy, demand.busy),
             slots=slots,
-            between_tokens_p95=max(step, demand.between_tokens_p95),
+            between_tokens_p95=max(mean_token_seconds, demand.between_tokens_p95),
         )
 
     def _pool_views(
         self, deployment: Deployment, offers: list[Offer], hosts: list[HostView]
     ) -> list[PoolView]:
-        """Return the pools on offer, and closed ones for hosts without an offer."""
+        """Return the pools on offer, and closed pools for hosts without an offer."""
         prices = {
             PoolKey.of(offer): offer.price
             for offer in offers
@@ -254,12 +268,16 @@
             and deployment.machine in ("", offer.machine)
         }
         views = [self._pool_view(key, price) for key, price in sorted(prices.items())]
-        other = {host.key: host.price for host in hosts if host.key not in prices}
-        views += [PoolView(key, price, is_open=False) for key, price in other.items()]
+        closed_prices = {
+            host.key: host.price for host in hosts if host.key not in prices
+        }
+        views += [
+            PoolView(key, price, is_open=False) for key, price in closed_prices.items()
+        ]
         return views
 
     def _pool_view(self, key: PoolKey, price: float) -> PoolView:
-        pool = self._machine.pools.get(key, Pool())
+        pool = self._machine.pools.get(key, PoolHistory())
         now = self._timers.wall()
         return PoolView(
             key,
@@ -269,7 +287,7 @@
             now >= pool.blocked_until,
         )
 
-    def _startable(self, deployment: Deployment, pools: list[PoolView]) -> int:
+    def _startable_replicas(self, deployment: Deployment, pools: list[PoolView]) -> int:
         if not all(pool.is_open for pool in pools):
             return 0
         return startable_replicas(
@@ -280,14 +298,14 @@
         )
 
     def _rollout_view(
-        self, name: str, deployment: Deployment, scene: _Scene
+        self, name: str, deployment: Deployment, snapshot: _Snapshot
     ) -> RolloutView:
-        host_ids = [host.host_id for host in self._host_views(name, scene)]
+        host_ids = [host.host_id for host in self._host_views(name, snapshot)]
         engines = tuple(
-            self._engine_view(engine, deployment, scene.orders_of(engine))
+            self._engine_view(engine, deployment, snapshot.orders_of(engine))
             for host_id in host_ids
-            if host_id and host_id not in scene.leaving
-            for engine in scene.engines.get(host_id, [])
+            if host_id and host_id not in snapshot.leaving
+            for engine in snapshot.engines.get(host_id, [])
             if not engine.is_leaving
         )
         need = self._needs.get(name)
@@ -338,21 +356,21 @@
         return self._timers.now() - since >= self._tuning.unload_grace
 
 
-def _is_ready(scene: _Scene, host_id: str) -> bool:
-    engines = scene.engines.get(host_id, []) if host_id else []
+def _is_ready(snapshot: _Snapshot, host_id: str) -> bool:
+    engines = snapshot.engines.get(host_id, []) if host_id else []
     return any(engine.models and not engine.is_leaving for engine in engines)
 
 
-def _waits_for_load(scene: _Scene, host_id: str) -> bool:
-    """Whether a host's engines are there and no load was tried on any."""
-    engines = scene.engines.get(host_id, [])
+def _awaits_first_load(snapshot: _Snapshot, host_id: str) -> bool:
+    """Whether a host has engines and none has finished a load order yet."""
+    engines = snapshot.engines.get(host_id, [])
     return bool(engines) and not any(
         action.kind is ActionKind.LOAD and not action.is_open
         for engine in engines
-        for action in scene.orders_of(engine)
+        for action in snapshot.orders_of(engine)
     )
 
 
-def _busy(scene: _Scene, host_id: str) -> int:
-    engines = scene.engines.get(host_id, []) if host_id else []
+def _active_requests(snapshot: _Snapshot, host_id: str) -> int:
+    engines = snapshot.engines.get(host_id, []) if host_id else []
     return sum(engine.load.running + engine.load.waiting for engine in engines)
--- a/src/pepperstep/fleet/plan.py
+++ b/src/pepperstep/fleet/plan.py
@@ -1,4 +1,4 @@
-"""Decides which hosts to start and stop, with the reason for each."""
+"""Planning of host starts and stops, each with its reason."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartHost:
-    """Start a host for a deployment."""
+    """Decision to start a host for a deployment."""
 
     deployment: str
     offer: Offer
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopHost:
-    """Drain a host, then stop it."""
+    """Decision to drain a host and then stop it."""
 
     deployment: str
     token: str
@@ -37,67 +37,70 @@
 def plan_fleet(
     views: Iterable[DeploymentView], policy: str = "planned"
 ) -> list[Decision]:
-    """Return what to do now; `policy` is a name in `POLICIES`."""
+    """Return the starts and stops due now; `policy` is a key of `POLICIES`."""
     decisions: list[Decision] = []
     for view in views:
         target = POLICIES[policy](view)
-        decisions += _starts(view, target)
-        decisions += _stops(view, target)
+        decisions += _plan_starts(view, target)
+        decisions += _plan_stops(view, target)
     return decisions
 
 
-def _starts(view: DeploymentView, target: Counter[PoolKey]) -> list[StartHost]:
+def _plan_starts(view: DeploymentView, target: Counter[PoolKey]) -> list[StartHost]:
     counted = view.counted
     missing = target - Counter(host.key for host in counted)
-    room = view.max_replicas - len(counted)
+    free_replicas = view.max_replicas - len(counted)
     pools = {pool.key: pool for pool in view.pools}
     starts = []
     for key in sorted(missing, key=lambda key: risk_price(pools[key], 0.5)):
         reason = _start_reason(view, target, pools[key])
         start = StartHost(view.name, pools[key].to_offer(), reason)
         starts += [start] * missing[key]
-    return starts[: max(0, room)]
+    return starts[: max(0, free_replicas)]
 
 
-def _stops(view: DeploymentView, target: Counter[PoolKey]) -> list[StopHost]:
-    """Return the hosts to stop; capacity never falls under the target's size."""
+def _plan_stops(view: DeploymentView, target: Counter[PoolKey]) -> list[StopHost]:
+    """Return the hosts to stop, keeping at least as many ready as the target has."""
     if not view.may_stop:
         return []
     stops = [
-        _stop(view, host, "It didn't become ready in time.")
+        _make_stop(view, host, "It didn't become ready in time.")
         for host in view.hosts
         if host.has_failed and not host.is_leaving and host.token
     ]
     surplus = Counter(host.key for host in view.counted) - target
     ready = Counter(host.key for host in view.counted if host.is_ready)
-    for host in sorted(view.counted, key=_stop_order(view)):
+    for host in sorted(view.counted, key=_stop_sort_key(view)):
         if not surplus[host.key] or not host.token or not host.host_id:
             continue
-        if host.is_ready and not _is_spare(view, target, ready, host.key):
+        if host.is_ready and not _is_surplus(view, target, ready, host.key):
             continue
         ready[host.key] -= host.is_ready
         surplus[host.key] -= 1
-        stops.append(_stop(view, host, _stop_reason(view, target, host)))
+        stops.append(_make_stop(view, host, _stop_reason(view, target, host)))
     return stops
 
 
-def _is_spare(
+def _is_surplus(
     view: DeploymentView,
     target: Counter[PoolKey],
     ready: Counter[PoolKey],
     key: PoolKey,
 ) -> bool:
-    """Whether enough ready hosts remain without one, also after a zone's loss."""
-    rest = ready - Counter({key: 1})
-    if rest.total() < target.total():
+    """Whether stopping a ready host of pool `key` keeps enough capacity.
+
+    The remaining hosts must match the target and survive the loss of any one zone.
+    """
+    remaining = ready - Counter({key: 1})
+    if remaining.total() < target.total():
         return False
     before = ready.total() - worst_loss(ready, view.pools)
-    after = rest.total() - worst_loss(rest, view.pools)
+    after = remaining.total() - worst_loss(remaining, view.pools)
     return after >= min(before, view.need.base - view.startable)
 
 
-def _stop_order(view: DeploymentView):
-    """Return the sort key: not ready, then dearest with its risk, then idlest."""
+def _stop_sort_key(view: DeploymentView):
+    """Return the sort key: unready, then highest risk price, then least busy first."""
     prices = {pool.key: risk_price(pool, view.cost_weight) for pool in view.pools}
 
     def key(host: HostView) -> tuple:
@@ -107,7 +110,7 @@
     return key
 
 
-def _stop(view: DeploymentView, host: HostView, reason: str) -> StopHost:
+def _make_stop(view: DeploymentView, host: HostView, reason: str) -> StopHost:
     return StopHost(view.name, host.token, host.host_id, reason)
 
 
--- a/src/pepperstep/fleet/policies.py
+++ b/src/pepperstep/fleet/policies.py
@@ -1,6 +1,6 @@
 """Policies that choose how many hosts of each pool a deployment should have.
 
-`planned` is the one to use; the others are simple ones to compare it with.
+`planned` is the default; the others are simple baselines for comparison.
 """
 
 from collections import Counter
@@ -15,24 +15,23 @@
 
 Policy = Callable[[DeploymentView], Counter[PoolKey]]
 
-# Share of the price that a decayed reclaim or refusal costs, at least.
-_RECLAIM_SHARE = 0.15
-_REFUSAL_SHARE = 0.05
-# What a host that runs already counts of its price, so that small changes of
-# prices replace no host.
-_KEPT_SHARE = 0.85
-# Above this weight on cost, on-demand hosts fill only what must not be missing.
-_COST_FIRST = 0.5
+# Surcharge on the price for each recent reclaim or refusal, as a share of the price.
+_RECLAIM_PRICE_SHARE = 0.15
+_REFUSAL_PRICE_SHARE = 0.05
+# Discount on running hosts, which keeps small price changes from replacing them.
+_KEPT_PRICE_FACTOR = 0.85
+# Above this cost weight, on-demand hosts only fill up to the base need.
+_COST_PRIORITY_WEIGHT = 0.5
 
 
 def risk_price(pool: PoolView, cost_weight: float) -> float:
-    """Return the price with what reclaims and refusals are likely to cost."""
-    share = _RECLAIM_SHARE * pool.reclaims * (2.0 - cost_weight)
-    return pool.price * (1.0 + share + _REFUSAL_SHARE * pool.refusals)
+    """Return the pool's price plus a surcharge for recent reclaims and refusals."""
+    share = _RECLAIM_PRICE_SHARE * pool.reclaims * (2.0 - cost_weight)
+    return pool.price * (1.0 + share + _REFUSAL_PRICE_SHARE * pool.refusals)
 
 
 def worst_loss(counts: Mapping[PoolKey, int], pools: tuple[PoolView, ...]) -> int:
-    """Return the most hosts that the cloud can take back with one zone."""
+    """Return the largest number of reclaimable hosts in any one zone."""
     losses: Counter[str] = Counter()
     for pool in pools:
         if pool.is_reclaimable:
@@ -41,8 +40,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Lot:
-    """Hosts of one pool at one price, kept or to be started."""
+class _Candidate:
+    """Hosts that an allocation may use: running ones of a pool, or new ones."""
 
     price: float
     key: PoolKey
@@ -56,39 +55,41 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Choice:
-    """An allocation, what it lacks and what it costs an hour."""
+class _Allocation:
+    """Hosts by pool, with the unmet need and the price an hour."""
 
     counts: Counter[PoolKey]
     shortage: int
-    # What it lacks after the loss of a zone.
+    # Replicas missing after the loss of a zone.
     uncovered: int
     cost: float
 
 
-def _plan(view: DeploymentView) -> Counter[PoolKey]:
-    """Return the cheapest allocation that bears the loss of any one zone.
+def _planned(view: DeploymentView) -> Counter[PoolKey]:
+    """Return the cheapest allocation that tolerates the loss of any one zone.
 
-    For each number of hosts that a zone may lose, as many hosts are needed as
-    make up for that loss; the zones are filled up to it, cheapest first.
-    On-demand hosts, which aren't taken back, fill the rest.
+    Tries each limit of reclaimable hosts per zone: the spare capacity equals the
+    limit, reclaimable hosts are added cheapest first up to the limit in each zone,
+    and on-demand hosts, which the cloud never reclaims, fill the remainder.
     """
-    lots = _lots(view)
+    candidates = _candidates(view)
     base = bearable_base(view)
-    losses = range(view.need.wanted + 1)
-    choices = [_choose(view, base, lots, loss) for loss in losses]
-    return min(choices, key=_choice_order).counts
+    zone_limits = range(view.need.wanted + 1)
+    allocations = [
+        _allocate(view, base, candidates, zone_limit) for zone_limit in zone_limits
+    ]
+    return min(allocations, key=_allocation_sort_key).counts
 
 
-def _choice_order(choice: _Choice) -> tuple:
-    return choice.shortage, choice.uncovered, choice.cost
+def _allocation_sort_key(allocation: _Allocation) -> tuple:
+    return allocation.shortage, allocation.uncovered, allocation.cost
 
 
 def bearable_base(view: DeploymentView) -> int:
     """Return the replicas that must remain after the loss of a zone.
 
-    Where the largest number of replicas leaves too little headroom, it's what
-    remains of that number spread evenly.
+    If `max_replicas` is too small for the base need plus a spare zone, return what
+    remains of `max_replicas` spread evenly over the zones without one of them.
     """
     zones = len({pool.key.zone for pool in view.pools if pool.is_reclaimable})
     if zones < 2:
@@ -96,8 +97,8 @@
     return min(view.need.base, view.max_replicas - -(-view.max_replicas // zones))
 
 
-class _Filling:
-    """An allocation that is being filled, up to a number of hosts."""
+class _AllocationBuilder:
+    """Builds an allocation of at most `limit` hosts."""
 
     def __init__(self, limit: int):
         self.limit = limit
@@ -108,79 +109,90 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether nothing more is to be taken."""
+        """Whether the allocation has reached its limit."""
         return self.total >= self.limit
 
-    def take(self, lot: _Lot, zone_limit: int) -> None:
-        """Take what there is room for, also in the lot's zone."""
-        zone = lot.key.zone
+    def add(self, candidate: _Candidate, zone_limit: int) -> None:
+        """Add as many of the candidate's hosts as both limits allow."""
+        zone = candidate.key.zone
         room = min(zone_limit - self._by_zone[zone], self.limit - self.total)
-        taken = min(room, lot.count)
-        if taken <= 0:
+        added = min(room, candidate.count)
+        if added <= 0:
             return
-        self._by_zone[zone] += taken
-        self.counts[lot.key] += taken
-        self.total += taken
-        self.cost += taken * lot.price
-
-
-def _choose(view: DeploymentView, base: int, lots: list[_Lot], loss: int) -> _Choice:
-    covering = base + loss - view.startable
-    total = min(max(view.need.wanted, covering), view.max_replicas)
-    spot = _Filling(total)
-    for lot in lots:
+        self._by_zone[zone] += added
+        self.counts[candidate.key] += added
+        self.total += added
+        self.cost += added * candidate.price
+
+
+def _allocate(
+    view: DeploymentView, base: int, candidates: list[_Candidate], zone_limit: int
+) -> _Allocation:
+    loss_tolerant = base + zone_limit - view.startable
+    total = min(max(view.need.wanted, loss_tolerant), view.max_replicas)
+    spot = _AllocationBuilder(total)
+    for candidate in candidates:
         if spot.is_full:
             break
-        if lot.is_reclaimable:
-            spot.take(lot, loss)
-    rest = _Filling(total - spot.total)
-    new_limit = rest.limit
-    if view.cost_weight > _COST_FIRST:
-        new_limit = max(0, view.need.base - spot.total)
-    for lot in lots:
-        if rest.is_full:
+        if candidate.is_reclaimable:
+            spot.add(candidate, zone_limit)
+    on_demand = _AllocationBuilder(total - spot.total)
+    start_limit = on_demand.limit
+    if view.cost_weight > _COST_PRIORITY_WEIGHT:
+        start_limit = max(0, view.need.base - spot.total)
+    for candidate in candidates:
+        if on_demand.is_full:
             break
-        if not lot.is_reclaimable and (lot.is_kept or rest.total < new_limit):
-            rest.take(lot if lot.is_kept else _cut(lot, new_limit - rest.total), total)
-    return _Choice(
-        spot.counts + rest.counts,
-        total - spot.total - rest.total,
-        max(0, covering - total),
-        spot.cost + rest.cost,
+        if not candidate.is_reclaimable and (
+            candidate.is_kept or on_demand.total < start_limit
+        ):
+            on_demand.add(
+                candidate
+                if candidate.is_kept
+                else _limit_count(candidate, start_limit - on_demand.total),
+                total,
+            )
+    return _Allocation(
+        spot.counts + on_demand.counts,
+        total - spot.total - on_demand.total,
+        max(0, loss_tolerant - total),
+        spot.cost + on_demand.cost,
     )
 
 
-def _cut(lot: _Lot, count: int) -> _Lot:
-    return replace(lot, count=min(lot.count, count))
+def _limit_count(candidate: _Candidate, count: int) -> _Candidate:
+    return replace(candidate, count=min(candidate.count, count))
 
 
-def _lots(view: DeploymentView) -> list[_Lot]:
-    """Return what there is to take, cheapest first."""
+def _candidates(view: DeploymentView) -> list[_Candidate]:
+    """Return running hosts and open pools by price, cheapest first."""
     have = Counter(host.key for host in view.counted)
-    lots = []
+    candidates = []
     for pool in view.pools:
         price = risk_price(pool, view.cost_weight)
         if have[pool.key]:
-            kept = _Lot(price * _KEPT_SHARE, pool.key, have[pool.key], True)
-            lots.append(kept)
+            kept = _Candidate(
+                price * _KEPT_PRICE_FACTOR, pool.key, have[pool.key], True
+            )
+            candidates.append(kept)
         if pool.is_open:
-            lots.append(_Lot(price, pool.key, view.max_replicas, False))
-    return sorted(lots, key=lambda lot: (lot.price, lot.key))
+            candidates.append(_Candidate(price, pool.key, view.max_replicas, False))
+    return sorted(candidates, key=lambda candidate: (candidate.price, candidate.key))
 
 
 def _cheapest(view: DeploymentView) -> Counter[PoolKey]:
-    """Return the wanted hosts, all at the lowest price now."""
+    """Return the wanted hosts from the cheapest pool, whatever its risk."""
     return _fill(view, [pool.key for pool in sorted(view.pools, key=_by_price)])
 
 
 def _all_on_demand(view: DeploymentView) -> Counter[PoolKey]:
-    """Return the wanted hosts, on-demand where it's cheapest."""
+    """Return the wanted hosts from the cheapest on-demand pool."""
     pools = sorted(view.pools, key=_by_price)
     return _fill(view, [pool.key for pool in pools if not pool.is_reclaimable])
 
 
 def _all_reclaimable(view: DeploymentView) -> Counter[PoolKey]:
-    """Return the wanted hosts, reclaimable and spread evenly."""
+    """Return the wanted hosts, all reclaimable and spread evenly over the pools."""
     have = Counter(host.key for host in view.counted)
     pools = [pool for pool in view.pools if pool.is_reclaimable]
     counts: Counter[PoolKey] = Counter()
@@ -198,7 +210,7 @@
 
 
 def _fill(view: DeploymentView, keys: list[PoolKey]) -> Counter[PoolKey]:
-    """Return the hosts there are, and the rest from the first open pool."""
+    """Return running hosts by order of `keys`, and new ones of the first open pool."""
     have = Counter(host.key for host in view.counted)
     open_keys = {pool.key for pool in view.pools if pool.is_open}
     total = min(view.need.wanted, view.max_replicas)
@@ -211,9 +223,9 @@
     return +counts
 
 
-# Policies by the names that settings use.
+# Policies by their name in the settings.
 POLICIES: dict[str, Policy] = {
-    "planned": _plan,
+    "planned": _planned,
     "cheapest": _cheapest,
     "all_on_demand": _all_on_demand,
     "all_reclaimable": _all_reclaimable,
--- a/src/pepperstep/fleet/record.py
+++ b/src/pepperstep/fleet/record.py
@@ -1,4 +1,4 @@
-"""A leader's access to the fleet's agreed record."""
+"""Commits changes to the fleet's replicated state machine."""
 
 import random
 from collections.abc import Iterable
@@ -6,18 +6,18 @@
 from absl import logging
 
 from pepperstep.errors import Code, Failure
-from pepperstep.fleet.actions import Action, Step
+from pepperstep.fleet.actions import Action, Transition
 from pepperstep.fleet.costs import CostKey
 from pepperstep.fleet.events import Event
-from pepperstep.fleet.history import Mark
+from pepperstep.fleet.history import PoolEvent
 from pepperstep.fleet.machine import MACHINE_NAME, FleetStateMachine
 from pepperstep.fleet.messages import (
-    act_from,
-    act_to,
-    event_to,
-    mark_to,
-    notice_to,
-    step_to,
+    action_from_message,
+    action_to_message,
+    event_to_message,
+    notice_to_message,
+    pool_event_to_message,
+    transition_to_message,
 )
 from pepperstep.fleet.tuning import FleetTuning
 from pepperstep.ports import Agreement, Timers
@@ -31,7 +31,7 @@
 
 
 class FleetRecord:
-    """Changes of the record in one epoch, which `begin` opens."""
+    """Commits the leader's changes during one epoch, which `begin` opens."""
 
     def __init__(
         self,
@@ -51,16 +51,16 @@
         self._tuning = tuning
         self._term = agreement.term
         self._epoch = 0
-        self._count = 0
+        self._id_count = 0
 
     @property
     def epoch(self) -> int:
-        """Epoch that this host leads in, 0 before it has begun."""
+        """Epoch opened by `begin`, 0 before that."""
         return self._epoch
 
     @property
     def is_valid(self) -> bool:
-        """Whether this host leads in this epoch now, under its lease."""
+        """Whether this host still leads in this epoch."""
         return (
             self._epoch != 0
             and self._agreement.is_leader
@@ -69,39 +69,44 @@
         )
 
     async def begin(self) -> None:
-        """Open an epoch, from which on all earlier ones are refused."""
-        command = self._command(self._random_id())
+        """Open a new epoch, which fences off the commands of all earlier epochs.
+
+        Raise `Failure` with `FENCED` if another host leads in a newer term.
+        """
+        command = self._make_command(self._random_id())
         command.lead.leader = self._host
         command.lead.term = self._term
         result = await self._propose(command)
         if result.is_fenced:
             raise Failure(Code.FENCED, "Another host leads in a newer term.")
         self._epoch = result.epoch
-        logging.info("fleet: Leads in epoch %d, term %d.", self._epoch, self._term)
+        logging.info("fleet: Leading in epoch %d, term %d.", self._epoch, self._term)
 
     async def commit(
         self,
         *,
         actions: Iterable[Action] = (),
-        steps: Iterable[Step] = (),
-        marks: Iterable[Mark] = (),
+        transitions: Iterable[Transition] = (),
+        pool_events: Iterable[PoolEvent] = (),
         notices: Iterable[ReclaimNotice] = (),
         handed_notices: Iterable[int] = (),
         rates: dict[CostKey, float] | None = None,
         events: Iterable[Event] = (),
     ) -> list[Action]:
-        """Commit changes together and return the acts that they touched.
+        """Commit changes atomically and return the actions that they changed.
 
         Raise `Failure` with `FENCED` if a newer epoch has begun, and with
-        `NO_QUORUM` if it isn't known whether the changes were committed.
+        `NO_QUORUM` if the outcome of the commit is unknown.
         """
-        command = self._command(self.new_id("command"))
-        command.acts.extend(act_to(action) for action in actions)
-        command.steps.extend(step_to(step) for step in steps)
-        command.marks.extend(mark_to(mark) for mark in marks)
-        command.notices.extend(notice_to(notice) for notice in notices)
+        command = self._make_command(self.new_id("command"))
+        command.acts.extend(action_to_message(action) for action in actions)
+        command.steps.extend(
+            transition_to_message(transition) for transition in transitions
+        )
+        command.marks.extend(pool_event_to_message(event) for event in pool_events)
+        command.notices.extend(notice_to_message(notice) for notice in notices)
         command.handed_notices.extend(handed_notices)
-        command.events.extend(event_to(event) for event in events)
+        command.events.extend(event_to_message(event) for event in events)
         if rates is not None:
             command.rates.SetInParent()
             for key, rate in rates.items():
@@ -111,12 +116,13 @@
         result = await self._propose(command)
         if result.is_fenced:
             raise Failure(Code.FENCED, f"Epoch {result.epoch} has begun.")
-        return [act_from(action) for action in result.acts]
+        return [action_from_message(action) for action in result.acts]
 
-    async def wait_lease(self, seconds: float) -> bool:
-        """Return whether the lease holds for more than `seconds` from now on.
+    async def wait_for_lease(self, seconds: float) -> bool:
+        """Wait for a lease of more than `seconds`; return whether there is one.
 
-        Nothing else runs between the check and the caller's next step.
+        There is no checkpoint between the check and the return, so that the caller
+        acts while the result still holds.
         """
         for _ in range(_LEASE_POLLS):
             if not self.is_valid:
@@ -127,15 +133,15 @@
         return False
 
     def new_id(self, prefix: str) -> str:
-        """Return an id that no other host and no other epoch gives."""
-        self._count += 1
-        return f"{prefix}-{self._epoch}-{self._count}"
+        """Return an id that is unique over all hosts and epochs."""
+        self._id_count += 1
+        return f"{prefix}-{self._epoch}-{self._id_count}"
 
     def event(self, kind: str, subject: str, text: str, reason: str = "") -> Event:
-        """Return an event that happens now."""
+        """Return an event with the current time."""
         return Event(self._timers.wall(), kind, subject, text, reason)
 
-    def _command(self, command_id: str) -> pb.FleetCommand:
+    def _make_command(self, command_id: str) -> pb.FleetCommand:
         return pb.FleetCommand(
             epoch=self._epoch, id=command_id, time=self._timers.wall()
         )
@@ -153,9 +159,9 @@
     command_id: str,
     timeout: float,
 ) -> None:
-    """Add events to the record from any host; `command_id` must be unique."""
+    """Commit events from any host, leader or not; `command_id` must be unique."""
     command = pb.FleetCommand(id=command_id)
-    command.events.extend(event_to(event) for event in events)
+    command.events.extend(event_to_message(event) for event in events)
     await _propose(agreement, command, timeout)
 
 
--- a/src/pepperstep/fleet/rollout.py
+++ b/src/pepperstep/fleet/rollout.py
@@ -1,4 +1,4 @@
-"""Decides which models engines load and unload, and which role they have."""
+"""Planning of model loads, unloads and roles of engines."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 from pepperstep.entities import ModelKey, Role
 from pepperstep.fleet.actions import ActionKind
 
-__all__ = ["EngineView", "OrderEngine", "RolloutView", "plan_models"]
+__all__ = ["EngineView", "EngineOrder", "RolloutView", "plan_models"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -17,38 +17,38 @@
     epoch: int
     models: frozenset[ModelKey]
     role: Role = Role.MIXED
-    # It was ordered to load and hasn't the model yet.
+    # Whether a load order was sent and the model isn't loaded yet.
     is_loading: bool = False
-    # It gets no order now: one is open, or it has just refused one.
+    # Whether new orders are held back: one is open, or one was just refused.
     is_paused: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutView:
-    """A deployment's engines, and what they should have loaded."""
+    """A deployment's engines and the model that they should load."""
 
     deployment: str
     model_key: ModelKey
     engines: tuple[EngineView, ...]
     # Replicas wanted.
     wanted: int
-    # Seconds that one load takes at the weight store's full rate.
+    # Seconds for one load at the weight store's full rate.
     load_seconds: float = 0.0
     cost_weight: float = 0.5
-    # Whether the model has been ready on enough engines for the grace time.
+    # Whether enough engines have had the model for the grace period.
     is_settled: bool = False
-    # Share of the engines that only prefill; all are mixed at 0.
+    # Share of the engines in the prefill role; at 0, all have the mixed role.
     prefill_share: float = 0.0
 
     @property
     def ready(self) -> int:
-        """Engines that have the model."""
+        """Number of engines that have loaded the model."""
         return sum(self.model_key in engine.models for engine in self.engines)
 
 
 @dataclass(frozen=True, slots=True)
-class OrderEngine:
-    """An order to give."""
+class EngineOrder:
+    """A planned order to an engine."""
 
     deployment: str
     engine: EngineView
@@ -58,11 +58,11 @@
     role: Role | None = None
 
 
-def plan_models(views: Iterable[RolloutView], load_window: float) -> list[OrderEngine]:
-    """Return the orders to give now.
+def plan_models(views: Iterable[RolloutView], load_window: float) -> list[EngineOrder]:
+    """Return the orders due now.
 
-    Loads that are on their way together take at most `load_window` seconds of
-    the weight store's rate, one load at least.
+    Concurrent loads take at most `load_window` seconds at the weight store's full
+    rate; a single load is always allowed.
     """
     views = list(views)
     orders = _plan_loads(views, load_window)
@@ -72,21 +72,21 @@
     return orders
 
 
-def _plan_loads(views: list[RolloutView], window: float) -> list[OrderEngine]:
+def _plan_loads(views: list[RolloutView], window: float) -> list[EngineOrder]:
     loading = {
         view.deployment: sum(e.is_loading for e in view.engines) for view in views
     }
     seconds = sum(loading[view.deployment] * view.load_seconds for view in views)
-    waiting = {view.deployment: _waiting(view) for view in views}
+    to_load = {view.deployment: _engines_to_load(view) for view in views}
     orders = []
     while True:
-        needy = [view for view in views if waiting[view.deployment]]
-        if not needy:
+        candidates = [view for view in views if to_load[view.deployment]]
+        if not candidates:
             return orders
-        view = min(needy, key=lambda v: _need_order(v, loading[v.deployment]))
+        view = min(candidates, key=lambda v: _load_sort_key(v, loading[v.deployment]))
         if any(loading.values()) and seconds + view.load_seconds > window:
             return orders
-        engine = waiting[view.deployment].pop(0)
+        engine = to_load[view.deployment].pop(0)
         loading[view.deployment] += 1
         seconds += view.load_seconds
         reason = (
@@ -94,13 +94,13 @@
             f"{seconds:.0f} s of the weight store's rate are in use."
         )
         orders.append(
-            OrderEngine(
+            EngineOrder(
                 view.deployment, engine, ActionKind.LOAD, reason, view.model_key
             )
         )
 
 
-def _waiting(view: RolloutView) -> list[EngineView]:
+def _engines_to_load(view: RolloutView) -> list[EngineView]:
     return sorted(
         (
             engine
@@ -113,18 +113,18 @@
     )
 
 
-def _need_order(view: RolloutView, loading: int) -> tuple:
-    """Return the sort key: the least covered, then the most urgent, goes first."""
+def _load_sort_key(view: RolloutView, loading: int) -> tuple:
+    """Return the sort key: least covered first, then lowest cost weight."""
     covered = (view.ready + loading) / max(1, view.wanted)
     return covered, view.cost_weight, view.deployment
 
 
-def _plan_unloads(view: RolloutView) -> list[OrderEngine]:
-    """Return the old models to unload once enough engines have the new one."""
+def _plan_unloads(view: RolloutView) -> list[EngineOrder]:
+    """Return one old model to unload an engine, once enough have the new model."""
     if not view.is_settled or view.ready < min(view.wanted, len(view.engines)):
         return []
     return [
-        OrderEngine(
+        EngineOrder(
             view.deployment,
             engine,
             ActionKind.UNLOAD,
@@ -137,7 +137,7 @@
     ]
 
 
-def _plan_roles(view: RolloutView) -> list[OrderEngine]:
+def _plan_roles(view: RolloutView) -> list[EngineOrder]:
     engines = sorted(view.engines, key=lambda engine: engine.name)
     prefill = int(len(engines) * view.prefill_share)
     other = Role.DECODE if prefill else Role.MIXED
@@ -148,6 +148,6 @@
             continue
         reason = f"{prefill} of {len(engines)} engines only prefill."
         orders.append(
-            OrderEngine(view.deployment, engine, ActionKind.SET_ROLE, reason, role=role)
+            EngineOrder(view.deployment, engine, ActionKind.SET_ROLE, reason, role=role)
         )
     return orders
--- a/src/pepperstep/fleet/tuning.py
+++ b/src/pepperstep/fleet/tuning.py
@@ -1,4 +1,4 @@
-"""Times and shares of the fleet loop."""
+"""Tuning parameters of the fleet's control loop."""
 
 from dataclasses import dataclass
 
@@ -7,58 +7,59 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetTuning:
-    """Times in seconds."""
+    """Tuning parameters; times are in seconds."""
 
-    # Between two decisions, and between two polls of reclaim notices.
+    # Interval between decisions, and between polls of reclaim notices.
     period: float = 5.0
     notice_period: float = 1.0
-    # Longest time that reclaim notices take to be handed on.
-    hand_on_timeout: float = 5.0
+    # Longest time for the delivery of reclaim notices.
+    delivery_timeout: float = 5.0
     # Longest wait for a commit.
     commit_timeout: float = 3.0
-    # Longest lease of an earlier leader.
+    # Longest lease that an earlier leader may hold.
     lease: float = 1.0
-    # Share by which two hosts' clocks may run apart.
+    # Largest relative difference between the rates of two hosts' clocks.
     clock_drift: float = 0.01
-    # After this time an order is given up by its sender.
+    # Time after which the sender of an order stops waiting for the answer.
     order_ttl: float = 0.4
-    # Longest time that an order may be under way after that.
-    order_under_way: float = 5.0
-    # One call to the cloud; it may outlast the lease, since a start is found
-    # again by its token and a stop has no second effect.
+    # Longest time after `order_ttl` at which an order may still arrive.
+    max_order_delay: float = 5.0
+    # Timeout of one call to the cloud. It may exceed the lease, as starts are
+    # idempotent by their token and stops are idempotent.
     cloud_timeout: float = 10.0
-    # Calls at the same time: to the cloud, and upstreams that get orders.
+    # Limits of concurrent calls to the cloud, and of upstreams sent orders at once.
     cloud_calls: int = 16
     order_calls: int = 64
-    # An order refused by an upstream isn't given again before this time.
+    # Pause after an upstream refuses an order.
     refused_pause: float = 5.0
-    # Longest back-off after refused starts, and the first one.
+    # Upper limit and first value of the backoff after refused starts.
     max_backoff: float = 300.0
     first_backoff: float = 5.0
-    # A host that hasn't become ready by then is given up.
+    # Time after which a start is cancelled, or an unready host is replaced.
     start_timeout: float = 600.0
-    # A host without a record is stopped after this time.
+    # Time after which an orphaned host is stopped.
     orphan_grace: float = 60.0
-    # Time for requests to end on a host that is to be stopped, and time in which
-    # all entry hosts have heard that its engines leave.
+    # Longest time for requests to end on a host before it is stopped, and time until
+    # all entry hosts know that its engines are leaving.
     drain_timeout: float = 300.0
     drain_settle: float = 10.0
-    # Demand counts as high as its peak in this time; a new leader stops no
-    # host before it has seen that much.
+    # Window over which the peak demand is taken; a new leader stops no host until it
+    # has observed one whole window.
     peak_window: float = 300.0
-    # Shortest notice of a reclaim, and time that a host takes to boot.
+    # Shortest reclaim notice, and boot time of a host.
     notice_seconds: float = 30.0
     boot_seconds: float = 60.0
-    # Weights that may be on order at the same time, in seconds of the store's rate.
+    # Limit of concurrent loads, in seconds at the weight store's full rate, and time
+    # after which a load without its model may be ordered again.
     load_window: float = 30.0
     load_timeout: float = 300.0
-    # Time that an old version stays loaded once the new one is ready everywhere.
+    # Time that an old version stays loaded once enough engines have the new one.
     unload_grace: float = 60.0
-    # Longest time between two commits of costs.
+    # Longest interval between commits of costs.
     cost_period: float = 60.0
 
     @property
-    def quiet_seconds(self) -> float:
-        """Time after which no order of an earlier leader can arrive."""
+    def old_order_expiry_seconds(self) -> float:
+        """Time after which no order of an earlier leader can arrive any more."""
         lease = self.lease * (1 + 2 * self.clock_drift)
-        return lease + self.order_ttl + self.order_under_way
+        return lease + self.order_ttl + self.max_order_delay
--- a/src/pepperstep/fleet/views.py
+++ b/src/pepperstep/fleet/views.py
@@ -1,4 +1,4 @@
-"""What the decisions on hosts look at."""
+"""Views of deployments, hosts and pools as input for planning."""
 
 from dataclasses import dataclass
 
@@ -11,23 +11,23 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolView:
-    """A pool of hosts to rent: its price an hour and what it did lately."""
+    """A pool of hosts for rent: its price an hour and its recent history."""
 
     key: PoolKey
     price: float
-    # Decayed counts.
+    # Exponentially decayed counts of reclaims and refused starts.
     reclaims: float = 0.0
     refusals: float = 0.0
-    # Whether starts may be asked for now.
+    # Whether the pool is on offer and not blocked.
     is_open: bool = True
 
     @property
     def is_reclaimable(self) -> bool:
-        """Whether the cloud may take its hosts back."""
+        """Whether the cloud may reclaim the pool's hosts."""
         return self.key.price_class is PriceClass.RECLAIMABLE
 
     def to_offer(self) -> Offer:
-        """Return the offer to ask for."""
+        """Return the offer for a start in this pool."""
         return Offer(self.key.zone, self.key.machine, self.key.price_class, self.price)
 
 
@@ -35,28 +35,28 @@
 class HostView:
     """A rented host, or one that is being started."""
 
-    # Token of its start, "" if the fleet didn't start it.
+    # Token of the start, "" if the fleet didn't start the host.
     token: str
     host_id: str
     key: PoolKey
     price: float
     is_ready: bool = True
-    # Being taken back or stopped.
+    # Whether the host is being reclaimed or stopped.
     is_leaving: bool = False
-    # Not ready for too long.
+    # Whether the host has been unready for longer than the start timeout.
     has_failed: bool = False
-    # Requests that it runs.
+    # Requests running or waiting on the host.
     busy: int = 0
 
     @property
     def is_counted(self) -> bool:
-        """Whether it's part of the capacity, now or soon."""
+        """Whether the host counts as capacity, now or soon."""
         return not self.is_leaving and not self.has_failed
 
 
 @dataclass(frozen=True, slots=True)
 class DeploymentView:
-    """A deployment with its hosts and the pools that it may use."""
+    """A deployment with its need, hosts and usable pools."""
 
     name: str
     need: Need
@@ -64,12 +64,12 @@
     pools: tuple[PoolView, ...]
     max_replicas: int = 12
     cost_weight: float = 0.5
-    # Replicas that are ready within the time of a reclaim notice.
+    # Replicas that can become ready within a reclaim notice.
     startable: int = 0
-    # Whether enough has been seen to stop hosts.
+    # Whether the leader has observed enough to stop hosts.
     may_stop: bool = True
 
     @property
     def counted(self) -> list[HostView]:
-        """Hosts that are part of the capacity."""
+        """Hosts that count as capacity."""
         return [host for host in self.hosts if host.is_counted]
--- a/tests/faults/test_orders.py
+++ b/tests/faults/test_orders.py
@@ -124,10 +124,10 @@
     if leader is None:
         return "No host leads."
     machine = leader.node._fleet.machine
-    if machine.open_actions() or not machine.hosts():
+    if machine.open_actions() or not machine.live_starts():
         return f"Open: {machine.open_actions()}."
     living = {host.token: host.id for host in _started(scene)}
-    recorded = {action.id: action.host_id for action in machine.hosts()}
+    recorded = {action.id: action.host_id for action in machine.live_starts()}
     if living != recorded:
         return f"Lives {living}, recorded {recorded}."
     engines = [e for e in scene.upstreams.engines if e.upstream.host in living.values()]
--- a/tests/fleet/site.py
+++ b/tests/fleet/cluster.py
@@ -72,30 +72,30 @@
 class KillableAgreement(FakeAgreement):
     """Agreement whose host may be killed before and after each commit."""
 
-    def __init__(self, host: str, log: FakeLog, site: "Site"):
+    def __init__(self, host: str, log: FakeLog, cluster: "Cluster"):
         super().__init__(host, log)
-        self._site = site
+        self._cluster = cluster
 
     async def propose(self, name: str, command: bytes, timeout: float) -> bytes:
-        await self._site.pass_point(self._host, "propose")
+        await self._cluster.pass_point(self._host, "propose")
         result = await super().propose(name, command, timeout)
-        await self._site.pass_point(self._host, "committed")
+        await self._cluster.pass_point(self._host, "committed")
         return result
 
 
 class LateUpstreams(FakeUpstreams):
     """Upstreams that orders reach late, after their sender has given up."""
 
-    def __init__(self, site: "Site"):
+    def __init__(self, cluster: "Cluster"):
         super().__init__()
-        self._site = site
+        self._cluster = cluster
         self.late_seconds = 0.0
         # Fencing numbers that were carried out, by upstream.
         self.carried_out: dict[str, list[int]] = defaultdict(list)
 
     async def send_order(self, upstream: Upstream, order: UpstreamOrder) -> None:
         if self.late_seconds:
-            self._site.run_later(self.late_seconds, self._arrive, upstream, order)
+            self._cluster.run_later(self.late_seconds, self._arrive, upstream, order)
             raise UpstreamLost("Connection lost.")
         await self._arrive(upstream, order)
 
@@ -107,10 +107,10 @@
 class Killable:
     """A port whose caller may be killed before and after some calls."""
 
-    def __init__(self, inner, host: str, site: "Site", *names: str):
+    def __init__(self, inner, host: str, cluster: "Cluster", *names: str):
         self._inner = inner
         self._host = host
-        self._site = site
+        self._cluster = cluster
         self._names = names
 
     def __getattr__(self, name: str):
@@ -119,10 +119,10 @@
             return method
 
         async def call(*arguments):
-            await self._site.pass_point(self._host, name)
-            self._site.note_call(self._host, name, arguments)
+            await self._cluster.pass_point(self._host, name)
+            self._cluster.note_call(self._host, name, arguments)
             result = await method(*arguments)
-            await self._site.pass_point(self._host, f"{name} answered")
+            await self._cluster.pass_point(self._host, f"{name} answered")
             return result
 
         return call
@@ -132,13 +132,13 @@
 class _Registry:
     """Registry view of a site."""
 
-    site: "Site"
+    cluster: "Cluster"
 
     def upstreams(self) -> list[Upstream]:
-        return self.site.upstream_view()
+        return self.cluster.upstream_view()
 
 
-class Site:
+class Cluster:
     """Control hosts, a cloud whose hosts run engines, and a weight store."""
 
     def __init__(self, hosts: int = 2, tuning: FleetTuning = QUICK, **changes):
@@ -175,16 +175,16 @@
 
     @classmethod
     @asynccontextmanager
-    async def start(cls, **options) -> AsyncIterator["Site"]:
+    async def start(cls, **options) -> AsyncIterator["Cluster"]:
         """Run a site until the block ends; the first host leads."""
-        site = cls(**options)
-        async with trio.open_nursery() as site._nursery:
-            site._nursery.start_soon(site._run_engines)
-            for name in site.names:
-                await site.start_host(name)
-            site.lead("control-0")
-            yield site
-            site._nursery.cancel_scope.cancel()
+        cluster = cls(**options)
+        async with trio.open_nursery() as cluster._nursery:
+            cluster._nursery.start_soon(cluster._run_engines)
+            for name in cluster.names:
+                await cluster.start_host(name)
+            cluster.lead("control-0")
+            yield cluster
+            cluster._nursery.cancel_scope.cancel()
 
     @property
     def machine(self):
@@ -270,7 +270,9 @@
         """Check that no start, host or order is lost, doubled or left open."""
         assert not self.machine.open_actions()
         living = {host.token: host.id for host in self.cloud.living}
-        assert living == {action.id: action.host_id for action in self.machine.hosts()}
+        assert living == {
+            action.id: action.host_id for action in self.machine.live_starts()
+        }
         assert len(living) == hosts
         assert len({engine.upstream.host for engine in self.engines}) == hosts
         assert all(KEY in engine.upstream.models for engine in self.engines)
@@ -344,6 +346,6 @@
         self.upstreams.add(engine)
 
 
-def loads(site: Site) -> list[SentOrder]:
+def loads(cluster: Cluster) -> list[SentOrder]:
     """Return the loads that were sent."""
-    return [sent for sent in site.sent if sent.order.kind is OrderKind.LOAD]
+    return [sent for sent in cluster.sent if sent.order.kind is OrderKind.LOAD]
--- a/tests/fleet/day.py
+++ b/tests/fleet/day.py
@@ -9,7 +9,7 @@
     Demand,
     DeploymentView,
     HostView,
-    Pool,
+    PoolHistory,
     PoolKey,
     PoolView,
     StartHost,
@@ -17,7 +17,7 @@
     plan_fleet,
 )
 from pepperstep.fleet.demand import PeakDemand
-from pepperstep.fleet.history import Mark, MarkKind, decayed_count
+from pepperstep.fleet.history import PoolEvent, PoolEventKind, decayed_count
 from pepperstep.ports.cloud import PriceClass
 
 STEP = 30.0
@@ -53,7 +53,7 @@
     wave_steps: int = 0
     short_wave_steps: int = 0
     hosts: list[DayHost] = field(default_factory=list)
-    _pools: dict[PoolKey, Pool] = field(default_factory=dict)
+    _pools: dict[PoolKey, PoolHistory] = field(default_factory=dict)
     _refused_until: dict[str, float] = field(default_factory=dict)
 
     def run(self) -> "Day":
@@ -70,7 +70,7 @@
             roll = outside.random()
             is_wave = now - last_wave < _PEAK_WINDOW
             self._count(now, busy, is_wave)
-            need = needed_replicas(peak.note(now, Demand(busy)), self.deployment)
+            need = needed_replicas(peak.add(now, Demand(busy)), self.deployment)
             self._plan(now, need, roll)
         return self
 
@@ -101,7 +101,7 @@
         ]
         for host in lost:
             self.hosts.remove(host)
-            self._mark(Mark(host.key, MarkKind.RECLAIMED, now + 90), now)
+            self._mark(PoolEvent(host.key, PoolEventKind.RECLAIMED, now + 90), now)
         other = self.zones[(self.zones.index(zone) + 1) % len(self.zones)]
         for refused in (zone, other):
             self._refused_until[refused] = now + _REFUSED_SECONDS
@@ -130,15 +130,19 @@
     def _start(self, token: str, key: PoolKey, price: float, now: float, roll) -> None:
         is_refusing = self._refused_until.get(key.zone, 0) > now
         if is_refusing and key.price_class is PriceClass.RECLAIMABLE:
-            wait = min(300.0, 5.0 * 2 ** self._pools.get(key, Pool()).refusals_in_row)
+            wait = min(
+                300.0, 5.0 * 2 ** self._pools.get(key, PoolHistory()).refusals_in_row
+            )
             wait *= 0.5 + roll / 2
-            self._mark(Mark(key, MarkKind.REFUSED, now + wait), now)
+            self._mark(PoolEvent(key, PoolEventKind.REFUSED, now + wait), now)
             return
-        self._mark(Mark(key, MarkKind.STARTED), now)
+        self._mark(PoolEvent(key, PoolEventKind.STARTED), now)
         self.hosts.append(DayHost(token, key, price, now + _START_SECONDS))
 
-    def _mark(self, mark: Mark, now: float) -> None:
-        self._pools[mark.key] = self._pools.get(mark.key, Pool()).marked(mark, now)
+    def _mark(self, mark: PoolEvent, now: float) -> None:
+        self._pools[mark.key] = self._pools.get(mark.key, PoolHistory()).with_event(
+            mark, now
+        )
 
     def _pool_views(self, now: float) -> list[PoolView]:
         views = []
@@ -150,7 +154,7 @@
             }
             for price_class, price in prices.items():
                 key = PoolKey(zone, "gpu", price_class)
-                pool = self._pools.get(key, Pool())
+                pool = self._pools.get(key, PoolHistory())
                 views.append(
                     PoolView(
                         key,
--- a/tests/fleet/test_every_step.py
+++ b/tests/fleet/test_every_step.py
@@ -3,44 +3,44 @@
 import pytest
 import trio
 
-from tests.fleet.site import Site
+from tests.fleet.cluster import Cluster
 
 # Steps that the life below takes without a fault.
 _STEPS = 114
 
 
-async def _run_life(site: Site) -> None:
+async def _run_life(cluster: Cluster) -> None:
     """Grow to three hosts, lose a zone, shrink to two."""
     await trio.sleep(20)
-    site.cloud.reclaim(6, zone="sapporo-hall")
+    cluster.cloud.reclaim(6, zone="sapporo-hall")
     await trio.sleep(24)
-    site.busy["zaseki-model"] = 5.0
+    cluster.busy["zaseki-model"] = 5.0
     await trio.sleep(66)
 
 
 async def test_life_without_faults(autojump_clock):
-    async with Site.start() as site:
-        await _run_life(site)
-        site.check_whole(2)
-        assert len(site.cloud.hosts) == 5
-        assert len(site.points) == _STEPS
-        times = {(e.kind, e.subject): e.time for e in site.machine.events.since()}
+    async with Cluster.start() as cluster:
+        await _run_life(cluster)
+        cluster.check_whole(2)
+        assert len(cluster.cloud.hosts) == 5
+        assert len(cluster.points) == _STEPS
+        times = {(e.kind, e.subject): e.time for e in cluster.machine.events.since()}
         stopped = [host for kind, host in times if kind == "stop_done"]
         assert len(stopped) == 2
         for host in stopped:
             waited = times["stop_done", host] - times["stop", host]
-            assert waited >= site.tuning.drain_settle
+            assert waited >= cluster.tuning.drain_settle
 
 
 @pytest.mark.parametrize("step", range(1, _STEPS + 1))
 async def test_next_leader_finishes_what_was_begun(step, autojump_clock):
-    async with Site.start() as site:
-        site.kill_at = step
-        await _run_life(site)
+    async with Cluster.start() as cluster:
+        cluster.kill_at = step
+        await _run_life(cluster)
         await trio.sleep(30)
-        assert site.log.leader == "control-1"
-        site.check_whole(2)
+        assert cluster.log.leader == "control-1"
+        cluster.check_whole(2)
         # Each start made one host, however often it was asked for.
-        assert len(site.cloud.hosts) == 5
-        assert {number for _, number in site.handed} == {1}
-        assert len(site.handed) <= 2
+        assert len(cluster.cloud.hosts) == 5
+        assert {number for _, number in cluster.handed} == {1}
+        assert len(cluster.handed) <= 2
--- a/tests/fleet/test_plan.py
+++ b/tests/fleet/test_plan.py
@@ -15,7 +15,7 @@
     EngineView,
     HostView,
     Need,
-    Pool,
+    PoolHistory,
     PoolKey,
     PoolView,
     RolloutView,
@@ -26,11 +26,11 @@
     plan_models,
 )
 from pepperstep.fleet.demand import PeakDemand, startable_replicas
-from pepperstep.fleet.history import Mark, MarkKind, decayed_count
+from pepperstep.fleet.history import PoolEvent, PoolEventKind, decayed_count
 from pepperstep.fleet.policies import bearable_base, worst_loss
 from pepperstep.ports.cloud import PriceClass
+from tests.fleet.cluster import KEY, ZONES, deployment
 from tests.fleet.day import Day
-from tests.fleet.site import KEY, ZONES, deployment
 
 SPOT, FIXED = PriceClass.RECLAIMABLE, PriceClass.ON_DEMAND
 
@@ -266,20 +266,28 @@
 def test_peak_startable_and_history():
     peak = PeakDemand(10)
     samples = [(0, 5.0), (4, 9.0), (8, 2.0), (15, 1.0), (20, 0.5)]
-    peaks = [peak.note(now, Demand(busy)).busy for now, busy in samples]
+    peaks = [peak.add(now, Demand(busy)).busy for now, busy in samples]
     assert peaks == [5, 9, 9, 2, 1]
     assert startable_replicas(30, 10, 10, 1.5) == 3
     assert startable_replicas(30, 31, 10, 1.5) == startable_replicas(30, 10, 0, 0) == 0
     assert decayed_count((0.0, 3600.0), 3600.0) == pytest.approx(1.5)
-    pool = Pool()
+    pool = PoolHistory()
     for time in (0, 10, 10, 100):
-        pool = pool.marked(Mark(_key(0), MarkKind.REFUSED, time + 50), time)
+        pool = pool.with_event(
+            PoolEvent(_key(0), PoolEventKind.REFUSED, time + 50), time
+        )
     # Starts that were asked for together count once.
     assert (pool.refusals_in_row, pool.blocked_until) == (2, 150)
-    assert pool.marked(Mark(_key(0), MarkKind.STARTED), 120).refusals_in_row == 2
-    assert pool.marked(Mark(_key(0), MarkKind.STARTED), 151).refusals_in_row == 0
+    assert (
+        pool.with_event(PoolEvent(_key(0), PoolEventKind.STARTED), 120).refusals_in_row
+        == 2
+    )
+    assert (
+        pool.with_event(PoolEvent(_key(0), PoolEventKind.STARTED), 151).refusals_in_row
+        == 0
+    )
     for time in (0, 30, 61, 200):
-        pool = pool.marked(Mark(_key(0), MarkKind.RECLAIMED, time), time)
+        pool = pool.with_event(PoolEvent(_key(0), PoolEventKind.RECLAIMED, time), time)
     assert pool.reclaims == (0, 61, 200)
 
 
--- a/tests/fleet/test_replicated_log.py
+++ b/tests/fleet/test_replicated_log.py
@@ -7,7 +7,7 @@
 
 from pepperstep.consensus import Consensus, Tuning
 from pepperstep.fakes import FakeDisk, FakeNetwork, FakePeers, FakeTimers
-from tests.fleet.site import QUICK, Site
+from tests.fleet.cluster import QUICK, Cluster
 
 # Slow, so that an hour takes few messages.
 _LOG = Tuning(heartbeat=2.0, election=8.0, call_timeout=2.0, forward_timeout=6.0)
@@ -16,7 +16,7 @@
 )
 
 
-class ReplicatedSite(Site):
+class ReplicatedCluster(Cluster):
     """A site whose hosts have a replicated log."""
 
     def __init__(self, **options):
@@ -56,45 +56,45 @@
 
 
 async def test_leader_isolated_for_an_hour(autojump_clock):
-    async with ReplicatedSite.start() as site:
+    async with ReplicatedCluster.start() as cluster:
         await trio.sleep(120)
-        site.check_whole(3)
-        old = site.leader
-        site.network.isolate(old)
+        cluster.check_whole(3)
+        old = cluster.leader
+        cluster.network.isolate(old)
         isolated_at = trio.current_time()
         # It still reaches the cloud and the upstreams.
-        site.cloud.reclaim(10, zone="sapporo-hall")
-        site.busy["zaseki-model"] = 150.0
+        cluster.cloud.reclaim(10, zone="sapporo-hall")
+        cluster.busy["zaseki-model"] = 150.0
         await trio.sleep(3600)
-        assert site.leader not in ("", old)
+        assert cluster.leader not in ("", old)
         late = [
             call
-            for call in site.calls
+            for call in cluster.calls
             if call[1] == old and call[0] > isolated_at + _LOG.lease
         ]
         assert not late
-        count = len(site.cloud.living)
-        site.network.heal()
+        count = len(cluster.cloud.living)
+        cluster.network.heal()
         await trio.sleep(120)
-        assert not [call for call in site.calls if call[1] == old and call[0] > 3700]
-        site.check_whole(count)
-        records = {name: fleet.machine for name, fleet in site.fleets.items()}
+        assert not [call for call in cluster.calls if call[1] == old and call[0] > 3700]
+        cluster.check_whole(count)
+        records = {name: fleet.machine for name, fleet in cluster.fleets.items()}
         snapshots = {machine.snapshot() for machine in records.values()}
         assert len(snapshots) == 1
 
 
 async def test_leaders_crash_in_turn(autojump_clock):
-    async with ReplicatedSite.start() as site:
+    async with ReplicatedCluster.start() as cluster:
         for busy in (32.0, 150.0, 5.0, 80.0):
-            site.busy["zaseki-model"] = busy
+            cluster.busy["zaseki-model"] = busy
             await trio.sleep(25)
-            name = site.leader
+            name = cluster.leader
             assert name
-            site.crash(name)
+            cluster.crash(name)
             await trio.sleep(5)
-            await site.start_host(name)
+            await cluster.start_host(name)
             await trio.sleep(60)
         await trio.sleep(120)
-        site.check_whole(len(site.cloud.living))
-        asked = site.cloud.asked
-        assert {host.token for host in site.cloud.hosts} == set(asked)
+        cluster.check_whole(len(cluster.cloud.living))
+        asked = cluster.cloud.asked
+        assert {host.token for host in cluster.cloud.hosts} == set(asked)
