--- a/src/pepperstep/fleet/fleet.py
+++ b/src/pepperstep/fleet/fleet.py
@@ -67,7 +67,7 @@
     ):
         if policy not in POLICIES:
             raise ValueError(
-                f"Unknown policy {policy!r}, expected one of {', '.join(POLICIES)}."
+                f"Unknown policy {policy}, expected one of {', '.join(POLICIES)}."
             )
         self.machine = machine
         self._ports = ports
--- a/src/pepperstep/fleet/machine.py
+++ b/src/pepperstep/fleet/machine.py
@@ -259,10 +259,10 @@
             if is_expired and notice.id in self.handed_notices:
                 del self.notices[notice.id]
                 self.handed_notices.discard(notice.id)
-        for event in decoded.pool_events:
-            if event.key in self.pools or len(self.pools) < _MAX_POOLS:
-                pool = self.pools.get(event.key, PoolHistory())
-                self.pools[event.key] = pool.with_event(event, time)
+        for pool_event in decoded.pool_events:
+            if pool_event.key in self.pools or len(self.pools) < _MAX_POOLS:
+                pool = self.pools.get(pool_event.key, PoolHistory())
+                self.pools[pool_event.key] = pool.with_event(pool_event, time)
         if decoded.command.HasField("rates"):
             self.costs.set_rates(decoded.rates, time)
 
@@ -282,7 +282,9 @@
             transition_from_message(transition) for transition in command.steps
         ]
         self.notices = [notice_from_message(notice) for notice in command.notices]
-        self.pool_events = [pool_event_from_message(event) for event in command.marks]
+        self.pool_events = [
+            pool_event_from_message(pool_event) for pool_event in command.marks
+        ]
         self.events = [event_from_message(event) for event in command.events]
         self.rates = {_cost_key(rate): rate.rate for rate in command.rates.rates}
 
--- a/src/pepperstep/fleet/orders.py
+++ b/src/pepperstep/fleet/orders.py
@@ -155,7 +155,7 @@
         return next(iter(await self._record.commit(transitions=transitions)), None)
 
     async def _send(self, action: Action, upstream: Upstream) -> bool:
-        """Commit that the order is sent, send it, and return whether it was accepted."""
+        """Commit the order as sent, send it, and return whether it was accepted."""
         if not await self._record.commit(
             transitions=[Transition.of(action, ActionState.SENT)]
         ):
--- a/src/pepperstep/fleet/record.py
+++ b/src/pepperstep/fleet/record.py
@@ -103,7 +103,9 @@
         command.steps.extend(
             transition_to_message(transition) for transition in transitions
         )
-        command.marks.extend(pool_event_to_message(event) for event in pool_events)
+        command.marks.extend(
+            pool_event_to_message(pool_event) for pool_event in pool_events
+        )
         command.notices.extend(notice_to_message(notice) for notice in notices)
         command.handed_notices.extend(handed_notices)
         command.events.extend(event_to_message(event) for event in events)
--- a/tests/faults/callers.py
+++ b/tests/faults/callers.py
@@ -1,4 +1,4 @@
-"""Callers that go on at another host when theirs fails them."""
+"""Callers that fail over to another host."""
 
 from dataclasses import dataclass
 
@@ -11,12 +11,12 @@
 from pepperstep.fakes import answer_of
 from pepperstep.fakes.hosts import HostLost
 
-# Without a sign of life a caller breaks the connection and goes elsewhere.
-_PATIENCE_SECONDS = 4.0
+# Time without data after which a caller fails over to another host.
+_CALL_TIMEOUT_SECONDS = 4.0
 _PAUSE_SECONDS = 0.2
 _TOKENS = 60
-# Refusals after which a caller sends its request again.
-_PASSING = (
+# Codes of refusals after which a caller retries.
+_RETRYABLE_CODES = (
     Code.NOT_READY,
     Code.NO_QUORUM,
     Code.NO_UPSTREAM,
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class Refusal:
-    """A refusal as its caller got it."""
+    """A refusal as received by its caller."""
 
     request_id: str
     code: Code
@@ -39,115 +39,115 @@
 
 
 class RequestCaller:
-    """Caller of one request, which it repeats with its key until it's answered."""
+    """Sends one request and retries it under its key until it is answered."""
 
     def __init__(
         self,
-        scene,
+        scenario,
         name: str,
-        home: str,
+        first_host: str,
         prompt: str = "",
         max_tokens: int = _TOKENS,
     ):
-        self.scene = scene
+        self.scenario = scenario
         self.name = name
-        # Idempotency key, which tells the content as well.
+        # Idempotency key, which is also the fingerprint of the content.
         self.key = name
-        self.home = home
+        self.first_host = first_host
         self.prompt = prompt or f"Seat the guests of {name}."
         self.max_tokens = max_tokens
         self.request: Request | None = None
         self.ids: set[str] = set()
         self.accepted: list[str] = []
-        # Those of the accepted ones that were accepted as this caller sent them.
-        self._own: set[str] = set()
+        # Accepted ids that weren't replaced by the id of an earlier request.
+        self._directly_accepted_ids: set[str] = set()
         self.tokens: list[str] = []
-        self.tokens_beside: list[str] = []
+        self.parallel_tokens: list[str] = []
         self.outcome: Outcome | None = None
-        self.outcome_beside: Outcome | None = None
+        self.parallel_outcome: Outcome | None = None
         self.refusals: list[Refusal] = []
-        # Faults that the checker doesn't forgive, as they were seen.
-        self.findings: list[str] = []
-        self._hosts = list(scene.hosts.places)
-        self._hosts.remove(home)
-        self._hosts.insert(0, home)
+        # Violations of the promises observed by this caller.
+        self.violations: list[str] = []
+        self._hosts = list(scenario.hosts.places)
+        self._hosts.remove(first_host)
+        self._hosts.insert(0, first_host)
         self._last_id = ""
         self.is_repeatable = not name.startswith("service")
         self._is_accepted = trio.Event()
 
     def has_attempt(self, attempt_id: str) -> bool:
-        """Whether an attempt is one of this caller's."""
+        """Whether the attempt belongs to this caller's request."""
         return attempt_id.rsplit(".", 2)[0] in self.ids
 
     async def run(self) -> None:
-        """Send and repeat until accepted, then read until there is an outcome."""
+        """Send the request until it is accepted, then read until its outcome."""
         while self.outcome is None:
             try:
                 request_id = await self._call(self._submit)
                 self.accepted.append(request_id)
                 self._is_accepted.set()
-                outcome = await self._read_on(request_id, self.tokens)
+                outcome = await self._read_to_end(request_id, self.tokens)
             except Failure as failure:
-                self._take_refusal(_outcome_of(failure))
+                self._handle_refusal(_outcome_of(failure))
             except (HostLost, trio.TooSlowError):
                 pass
             else:
-                self._end(outcome, request_id)
+                self._handle_outcome(outcome, request_id)
             self._next_host()
             await trio.sleep(_PAUSE_SECONDS)
         self._is_accepted.set()
 
-    async def read_beside(self, host: str) -> None:
-        """Read the same answer from its start at another host."""
+    async def read_in_parallel(self, host: str) -> None:
+        """Read the same answer from the start at another host."""
         await self._is_accepted.wait()
         while self.accepted:
-            reader = RequestCaller(self.scene, self.name, host)
+            reader = RequestCaller(self.scenario, self.name, host)
             reader.request, reader.ids = self.request, self.ids
             try:
-                self.outcome_beside = await reader._read_on(
-                    self.accepted[-1], self.tokens_beside
+                self.parallel_outcome = await reader._read_to_end(
+                    self.accepted[-1], self.parallel_tokens
                 )
             finally:
-                self.findings += reader.findings
-            if self.outcome_beside.is_answered or self.outcome is not None:
+                self.violations += reader.violations
+            if self.parallel_outcome.is_answered or self.outcome is not None:
                 return
             await trio.sleep(_PAUSE_SECONDS)
 
-    def _end(self, outcome: Outcome, request_id: str) -> None:
-        """Take an outcome, which is final for a request that was accepted.
+    def _handle_outcome(self, outcome: Outcome, request_id: str) -> None:
+        """Handle an outcome, which is final for an accepted request.
 
-        A repeat may find an earlier request that wasn't accepted in the end.
+        A retry may get the id of an earlier request that was refused in the end.
         """
         if outcome.code is Code.UNKNOWN_REQUEST:
-            self.findings.append(f"{self.name}: {outcome.text}")
+            self.violations.append(f"{self.name}: {outcome.text}")
         if outcome.is_answered:
             self.outcome = outcome
-        elif request_id in self._own or self.tokens:
-            self._note_refusal(outcome)
+        elif request_id in self._directly_accepted_ids or self.tokens:
+            self._record_refusal(outcome)
             self.outcome = outcome
         else:
-            self._take_refusal(outcome)
+            self._handle_refusal(outcome)
 
-    def _take_refusal(self, outcome: Outcome) -> None:
-        """Go on after a refusal that says when to come back, else end."""
-        self._note_refusal(outcome)
+    def _handle_refusal(self, outcome: Outcome) -> None:
+        """Retry if the refusal allows a safe retry, else store it as the outcome."""
+        self._record_refusal(outcome)
         is_safe = self.is_repeatable or outcome.execution is Execution.NOT_RUN
-        if outcome.code not in _PASSING or not is_safe:
+        if outcome.code not in _RETRYABLE_CODES or not is_safe:
             self.outcome = outcome
 
-    def _note_refusal(self, outcome: Outcome) -> None:
+    def _record_refusal(self, outcome: Outcome) -> None:
         self.refusals.append(Refusal(self._last_id, outcome.code, outcome.execution))
 
     async def _submit(self, node) -> str:
         if not node.configuration.revision:
-            # As the callers' border answers.
+            # Same answer as the public API gives.
             raise Failure(Code.NOT_READY, "No configuration.", retry_after=1.0)
         request = self._new_request()
         self._last_id = request.id
         submitted = await node.requests.submit(request)
         self._last_id = submitted.id
         if submitted.id == request.id:
-            self._own.add(request.id)
+            self._directly_accepted_ids.add(request.id)
         return submitted.id
 
     def _new_request(self) -> Request:
@@ -159,9 +159,9 @@
                 "is_repeatable": False,
                 "body": self.key.encode(),
             }
-        number = 1000 * (1 + self.scene.callers.index(self)) + len(self.ids)
+        number = 1000 * (1 + self.scenario.callers.index(self)) + len(self.ids)
         host = self._hosts[0]
-        request = self.scene.hosts.request(
+        request = self.scenario.hosts.request(
             host,
             number,
             seed=7,
@@ -173,8 +173,8 @@
         self.ids.add(request.id)
         return request
 
-    async def _read_on(self, request_id: str, tokens: list[str]) -> Outcome:
-        """Read an answer at one host after another to its end."""
+    async def _read_to_end(self, request_id: str, tokens: list[str]) -> Outcome:
+        """Read an answer to its end, failing over between hosts."""
         while True:
             try:
                 return await self._call(
@@ -194,27 +194,27 @@
         try:
             async for part in parts:
                 if part.position != len(tokens):
-                    self.findings.append(f"{self.name}: Part at {part.position}.")
+                    self.violations.append(f"{self.name}: Part at {part.position}.")
                 tokens += part.tokens
                 if tokens != expected[: len(tokens)]:
-                    self.findings.append(f"{self.name}: Wrong tokens.")
+                    self.violations.append(f"{self.name}: Wrong tokens.")
                 if part.outcome is not None:
                     return part.outcome
-                self._deadline.deadline = trio.current_time() + _PATIENCE_SECONDS
+                self._deadline.deadline = trio.current_time() + _CALL_TIMEOUT_SECONDS
         finally:
             await parts.aclose()
-        raise AssertionError("The answer has no end.")
+        raise AssertionError("The answer ended without an outcome.")
 
     async def _call(self, function):
         host = self._hosts[0]
-        if host not in self.scene.hosts.hosts:
+        if host not in self.scenario.hosts.hosts:
             raise HostLost(host)
-        with trio.move_on_after(_PATIENCE_SECONDS) as self._deadline:
+        with trio.move_on_after(_CALL_TIMEOUT_SECONDS) as self._deadline:
             try:
-                return await self.scene.hosts.call(host, function)
+                return await self.scenario.hosts.call(host, function)
             except HostLost:
-                if host in self.scene.drained:
-                    self.findings.append(f"{self.name}: Cut by the drain of {host}.")
+                if host in self.scenario.drained:
+                    self.violations.append(f"{self.name}: Cut by the drain of {host}.")
                 raise
         raise trio.TooSlowError
 
@@ -223,30 +223,30 @@
 
 
 class ChangeCaller:
-    """Operator that changes the base, and resends until there is an answer."""
+    """Operator that changes the base document, and resends until it is answered."""
 
     def __init__(
-        self, scene, home: str, value: int = 300, change_id: str = "the-first"
+        self, scenario, first_host: str, value: int = 300, change_id: str = "the-first"
     ):
-        self.scene = scene
-        self.home = home
+        self.scenario = scenario
+        self.first_host = first_host
         self.value = value
         self.change_id = change_id
         self.answers: list[ChangeAnswer] = []
         self.accepted_at = 0.0
-        self.findings: list[str] = []
-        # Times to send the same change again after its answer, at other hosts.
+        self.violations: list[str] = []
+        # Number of times to send the same change to other hosts after its answer.
         self.resends = 0
-        # Its place in the log, once known.
+        # Index of the change in the log, once known.
         self.index = 0
-        self._hosts = list(scene.hosts.places)
-        self._hosts.remove(home)
-        self._hosts.insert(0, home)
+        self._hosts = list(scenario.hosts.places)
+        self._hosts.remove(first_host)
+        self._hosts.insert(0, first_host)
         self._change: Change | None = None
 
     @property
     def answer(self) -> ChangeAnswer | None:
-        """The first answer."""
+        """First answer to the change, if any."""
         return self.answers[0] if self.answers else None
 
     @property
@@ -254,12 +254,12 @@
         """Whether the change was accepted."""
         return bool(self.answers) and self.answers[0].is_accepted
 
-    def is_in(self, data: bytes) -> bool:
-        """Whether a command or what is written has this change."""
+    def is_contained_in(self, data: bytes) -> bool:
+        """Whether the bytes of a command or a write contain this change."""
         return self.change_id.encode() in data
 
     async def run(self) -> None:
-        """Send the change until it's answered, then resend it."""
+        """Send the change until it is answered, then `resends` more times."""
         await trio.sleep(0.05)
         self._change = self._make_change()
         while len(self.answers) <= self.resends:
@@ -269,15 +269,15 @@
 
     async def _send_once(self) -> None:
         host = self._hosts[0]
-        if host not in self.scene.hosts.hosts:
+        if host not in self.scenario.hosts.hosts:
             return
         answer = None
         try:
-            with trio.move_on_after(_PATIENCE_SECONDS):
-                answer = await self.scene.hosts.call(
+            with trio.move_on_after(_CALL_TIMEOUT_SECONDS):
+                answer = await self.scenario.hosts.call(
                     host,
                     lambda node: node.store.apply_change(
-                        self._change, _PATIENCE_SECONDS
+                        self._change, _CALL_TIMEOUT_SECONDS
                     ),
                 )
         except (Failure, HostLost):
@@ -287,30 +287,37 @@
         self.answers.append(answer)
         if len(self.answers) == 1 and answer.is_accepted:
             self.accepted_at = trio.current_time()
-            self.scene.nursery.start_soon(self._watch_force)
+            self.scenario.nursery.start_soon(self._check_propagation)
 
     def _make_change(self) -> Change:
-        """Return a change of the base as it stood at the scene's start."""
-        base = dict(self.scene.base)
+        """Return a change to the base document as of the start of the scenario."""
+        base = dict(self.scenario.base)
         base["limits"] = dict(base["limits"], max_queue=self.value)
         return Change(
-            self.change_id, BASE, tomli_w.dumps(base), self.scene.revision, "root", ""
+            self.change_id,
+            BASE,
+            tomli_w.dumps(base),
+            self.scenario.revision,
+            "root",
+            "",
         )
 
-    async def _watch_force(self) -> None:
-        """Note hosts that were reached all the time and don't have it in force."""
-        reached = set(self.scene.hosts.places)
+    async def _check_propagation(self) -> None:
+        """Report hosts that stayed reachable for 2 s and still lack the change."""
+        reachable = set(self.scenario.hosts.places)
         for _ in range(20):
-            reached &= {name for name in reached if self.scene.is_reached(name)}
+            reachable &= {
+                name for name in reachable if self.scenario.is_reachable(name)
+            }
             await trio.sleep(0.1)
-        for name in reached:
-            if self.scene.is_reached(name) and self.scene.is_network_whole:
-                self._check_force(name)
+        for name in reachable:
+            if self.scenario.is_reachable(name) and self.scenario.is_network_healthy:
+                self._check_revision(name)
 
-    def _check_force(self, name: str) -> None:
-        revision = self.scene.hosts.hosts[name].node.store.revision
+    def _check_revision(self, name: str) -> None:
+        revision = self.scenario.hosts.hosts[name].node.store.revision
         if revision < self.answer.revision:
-            self.findings.append(
+            self.violations.append(
                 f"{name} has revision {revision}, not {self.answer.revision}."
             )
 
--- a/tests/faults/faults.py
+++ b/tests/faults/faults.py
@@ -1,4 +1,4 @@
-"""Faults of the matrix: what strikes, and when it's mended."""
+"""Faults of the test matrix: how each is injected and repaired."""
 
 from collections.abc import Callable, Generator
 from dataclasses import dataclass
@@ -6,333 +6,337 @@
 import trio
 
 from tests.faults.callers import ChangeCaller, RequestCaller
-from tests.faults.scene import POISON, Scene
+from tests.faults.scenario import POISON, Scenario
 
 __all__ = ["FAULTS", "Fault"]
 
-# Strikes up to its `yield`, which gives the seconds until it's mended.
-Course = Callable[[Scene, RequestCaller], Generator[float, None, None]]
+# Injects the fault before its `yield`, which gives the seconds until the repair.
+FaultSteps = Callable[[Scenario, RequestCaller], Generator[float, None, None]]
 
 _CUT_SECONDS = 4.0
 _LONG_CUT_SECONDS = 60.0
 _PAUSE_SECONDS = 4.0
 _NETWORK_SECONDS = 3.0
-# Less than what a stream needs from its middle on.
+# Shorter than a stream takes from its middle step on.
 _NOTICE_SECONDS = 1.4
-_BACK_SECONDS = 3.0
+_OUTAGE_SECONDS = 3.0
 
 
 @dataclass(frozen=True)
 class Fault:
-    """A fault with its name."""
+    """A named fault."""
 
     name: str
-    course: Course
+    steps: FaultSteps
 
-    def strike(self, scene: Scene, caller: RequestCaller) -> None:
-        """Strike now, and mend in time."""
-        scene.struck_at = trio.current_time()
-        course = self.course(scene, caller)
-        seconds = next(course)
-        scene.mended_at = max(scene.mended_at, scene.struck_at + seconds)
-        scene.later(seconds, lambda: next(course, None))
+    def inject(self, scenario: Scenario, caller: RequestCaller) -> None:
+        """Inject the fault now and schedule its repair."""
+        scenario.injected_at = trio.current_time()
+        steps = self.steps(scenario, caller)
+        seconds = next(steps)
+        scenario.repaired_at = max(scenario.repaired_at, scenario.injected_at + seconds)
+        scenario.run_later(seconds, lambda: next(steps, None))
 
 
 FAULTS: dict[str, Fault] = {}
 
 
-def _fault(course: Course) -> Course:
-    name = course.__name__.strip("_")
-    FAULTS[name] = Fault(name, course)
-    return course
+def _fault(steps: FaultSteps) -> FaultSteps:
+    name = steps.__name__.strip("_")
+    FAULTS[name] = Fault(name, steps)
+    return steps
 
 
 @_fault
-def _upstream_dies(scene, caller):
-    upstream = scene.upstream(caller)
+def _upstream_dies(scenario, caller):
+    upstream = scenario.upstream(caller)
     upstream.die()
-    yield _BACK_SECONDS
+    yield _OUTAGE_SECONDS
     upstream.start_again()
 
 
 @_fault
-def _upstream_is_reclaimed(scene, caller):
-    scene.reclaim(_NOTICE_SECONDS, name=scene.upstream(caller).upstream.name)
+def _upstream_is_reclaimed(scenario, caller):
+    scenario.reclaim(_NOTICE_SECONDS, name=scenario.upstream(caller).upstream.name)
     yield _NOTICE_SECONDS
 
 
 @_fault
-def _zone_is_reclaimed(scene, caller):
-    zone = scene.upstream(caller).upstream.zone
-    scene.is_reclaiming = False
-    scene.reclaim(_NOTICE_SECONDS, zone=zone)
+def _zone_is_reclaimed(scenario, caller):
+    zone = scenario.upstream(caller).upstream.zone
+    scenario.is_reclaiming = False
+    scenario.reclaim(_NOTICE_SECONDS, zone=zone)
     yield _NOTICE_SECONDS + 1
-    for each in scene.upstreams.all.values():
+    for each in scenario.upstreams.all.values():
         if each.upstream.zone == zone and not each.is_alive:
             each.start_again()
 
 
 @_fault
-def _zone_is_reclaimed_for_good(scene, caller):
-    """Replacements are refused."""
-    scene.is_reclaiming = False
-    scene.reclaim(_NOTICE_SECONDS, zone=scene.upstream(caller).upstream.zone)
+def _zone_is_reclaimed_for_good(scenario, caller):
+    """Reclaim a zone whose upstreams don't start again."""
+    scenario.is_reclaiming = False
+    scenario.reclaim(_NOTICE_SECONDS, zone=scenario.upstream(caller).upstream.zone)
     yield _NOTICE_SECONDS
 
 
 @_fault
-def _owner_is_killed(scene, caller):
-    scene.kill(scene.owner(caller))
+def _owner_is_killed(scenario, caller):
+    scenario.kill(scenario.owner_of(caller))
     yield 0
 
 
 @_fault
-def _owner_is_paused(scene, caller):
-    yield from _pause(scene, scene.owner(caller))
+def _owner_is_paused(scenario, caller):
+    yield from _pause(scenario, scenario.owner_of(caller))
 
 
 @_fault
-def _owner_is_drained(scene, caller):
-    scene.drain(scene.owner(caller))
+def _owner_is_drained(scenario, caller):
+    scenario.drain(scenario.owner_of(caller))
     yield 0
 
 
 @_fault
-def _owner_is_cut_off(scene, caller):
-    yield from _cut_off(scene, scene.owner(caller))
+def _owner_is_cut_off(scenario, caller):
+    yield from _cut_off(scenario, scenario.owner_of(caller))
 
 
 @_fault
-def _second_is_killed(scene, caller):
-    scene.kill(scene.second(caller))
+def _second_is_killed(scenario, caller):
+    scenario.kill(scenario.backup_of(caller))
     yield 0
 
 
 @_fault
-def _second_is_paused(scene, caller):
-    yield from _pause(scene, scene.second(caller))
+def _second_is_paused(scenario, caller):
+    yield from _pause(scenario, scenario.backup_of(caller))
 
 
 @_fault
-def _second_is_drained(scene, caller):
-    scene.drain(scene.second(caller))
+def _second_is_drained(scenario, caller):
+    scenario.drain(scenario.backup_of(caller))
     yield 0
 
 
 @_fault
-def _second_is_cut_off(scene, caller):
-    yield from _cut_off(scene, scene.second(caller))
+def _second_is_cut_off(scenario, caller):
+    yield from _cut_off(scenario, scenario.backup_of(caller))
 
 
 @_fault
-def _leader_is_killed(scene, caller):
-    scene.kill(scene.hosts.leader)
+def _leader_is_killed(scenario, caller):
+    scenario.kill(scenario.hosts.leader)
     yield 0
 
 
 @_fault
-def _leader_is_paused(scene, caller):
-    yield from _pause(scene, scene.hosts.leader)
+def _leader_is_paused(scenario, caller):
+    yield from _pause(scenario, scenario.hosts.leader)
 
 
 @_fault
-def _leader_is_cut_off(scene, caller):
-    yield from _cut_off(scene, scene.hosts.leader)
+def _leader_is_cut_off(scenario, caller):
+    yield from _cut_off(scenario, scenario.hosts.leader)
 
 
 @_fault
-def _leader_loses_its_disk(scene, caller):
-    scene.kill(scene.hosts.leader, is_disk_lost=True)
+def _leader_loses_its_disk(scenario, caller):
+    scenario.kill(scenario.hosts.leader, is_disk_lost=True)
     yield 0
 
 
 @_fault
-def _leader_is_cut_off_for_long(scene, caller):
-    yield from _cut_off(scene, scene.hosts.leader, _LONG_CUT_SECONDS)
+def _leader_is_cut_off_for_long(scenario, caller):
+    yield from _cut_off(scenario, scenario.hosts.leader, _LONG_CUT_SECONDS)
 
 
 @_fault
-def _leader_is_not_heard(scene, caller):
-    yield from _cut_one_way(scene, scene.hosts.leader, is_heard=False)
+def _leader_is_not_heard(scenario, caller):
+    yield from _cut_one_direction(scenario, scenario.hosts.leader, cuts_incoming=False)
 
 
 @_fault
-def _leader_hears_nothing(scene, caller):
-    yield from _cut_one_way(scene, scene.hosts.leader, is_heard=True)
+def _leader_hears_nothing(scenario, caller):
+    yield from _cut_one_direction(scenario, scenario.hosts.leader, cuts_incoming=True)
 
 
 @_fault
-def _another_disk_is_lost_after_repair(scene, caller):
-    scene.open_faults += 1
-    scene.nursery.start_soon(_lose_two, scene)
+def _another_disk_is_lost_after_repair(scenario, caller):
+    scenario.open_faults += 1
+    scenario.nursery.start_soon(_lose_two_disks, scenario)
     yield 0
 
 
 @_fault
-def _messages_are_late(scene, caller):
-    scene.network.max_delay = scene.network.min_delay = 0.12
+def _messages_are_late(scenario, caller):
+    scenario.network.max_delay = scenario.network.min_delay = 0.12
     yield _NETWORK_SECONDS
-    scene.network.max_delay = scene.network.min_delay = 0.0005
+    scenario.network.max_delay = scenario.network.min_delay = 0.0005
 
 
 @_fault
-def _messages_are_doubled(scene, caller):
-    scene.network.duplication = 0.7
+def _messages_are_doubled(scenario, caller):
+    scenario.network.duplication = 0.7
     yield _NETWORK_SECONDS
-    scene.network.duplication = 0.0
+    scenario.network.duplication = 0.0
 
 
 @_fault
-def _messages_are_lost(scene, caller):
-    scene.network.loss = 0.25
+def _messages_are_lost(scenario, caller):
+    scenario.network.loss = 0.25
     yield _NETWORK_SECONDS
-    scene.network.loss = 0.0
+    scenario.network.loss = 0.0
 
 
 @_fault
-def _messages_are_reordered(scene, caller):
-    scene.network.max_delay = 0.15
+def _messages_are_reordered(scenario, caller):
+    scenario.network.max_delay = 0.15
     yield _NETWORK_SECONDS
-    scene.network.max_delay = 0.0005
+    scenario.network.max_delay = 0.0005
 
 
 @_fault
-def _owner_is_not_heard(scene, caller):
-    yield from _cut_one_way(scene, scene.owner(caller), is_heard=False)
+def _owner_is_not_heard(scenario, caller):
+    yield from _cut_one_direction(
+        scenario, scenario.owner_of(caller), cuts_incoming=False
+    )
 
 
 @_fault
-def _owner_hears_nothing(scene, caller):
-    yield from _cut_one_way(scene, scene.owner(caller), is_heard=True)
+def _owner_hears_nothing(scenario, caller):
+    yield from _cut_one_direction(
+        scenario, scenario.owner_of(caller), cuts_incoming=True
+    )
 
 
 @_fault
-def _request_crashes_engines(scene, caller):
-    """Its caller sends it again at other hosts."""
-    for engine in scene.upstreams.engines:
+def _request_crashes_engines(scenario, caller):
+    """Send a request that crashes engines, under three keys at three hosts."""
+    for engine in scenario.upstreams.engines:
         engine.poison = POISON
     for number in range(3):
-        poison = RequestCaller(scene, f"poison-{number}", f"entry-{number}", POISON)
-        scene.callers.append(poison)
-        scene.nursery.start_soon(_send_later, poison, 0.4 * number)
+        poison = RequestCaller(scenario, f"poison-{number}", f"entry-{number}", POISON)
+        scenario.callers.append(poison)
+        scenario.nursery.start_soon(_run_after, poison, 0.4 * number)
     yield 6.0
 
 
 @_fault
-def _engine_is_slow(scene, caller):
-    engine = scene.upstream(scene.stream)
+def _engine_is_slow(scenario, caller):
+    engine = scenario.upstream(scenario.stream)
     engine.slow_seconds = 0.5
     yield 2.0
     engine.slow_seconds = 0.0
 
 
 @_fault
-def _engine_is_silent(scene, caller):
-    engine = scene.upstream(scene.stream)
+def _engine_is_silent(scenario, caller):
+    engine = scenario.upstream(scenario.stream)
     engine.is_silent = True
     yield 12.0
     engine.is_silent = False
 
 
 @_fault
-def _answers_are_crossed(scene, caller):
-    yield from _spoil(scene, "is_crossed", True, False)
+def _answers_are_crossed(scenario, caller):
+    yield from _corrupt_answers(scenario, "is_crossed", True, False)
 
 
 @_fault
-def _answers_are_doubled(scene, caller):
-    yield from _spoil(scene, "is_doubled", True, False)
+def _answers_are_doubled(scenario, caller):
+    yield from _corrupt_answers(scenario, "is_doubled", True, False)
 
 
 @_fault
-def _answers_are_cut(scene, caller):
-    yield from _spoil(scene, "cut_after", 3, None)
+def _answers_are_cut(scenario, caller):
+    yield from _corrupt_answers(scenario, "cut_after", 3, None)
 
 
 @_fault
-def _answers_have_gaps(scene, caller):
-    yield from _spoil(scene, "has_gaps", True, False)
+def _answers_have_gaps(scenario, caller):
+    yield from _corrupt_answers(scenario, "has_gaps", True, False)
 
 
 @_fault
-def _answers_end_early(scene, caller):
-    yield from _spoil(scene, "ends_early", True, False)
+def _answers_end_early(scenario, caller):
+    yield from _corrupt_answers(scenario, "ends_early", True, False)
 
 
 @_fault
-def _cloud_is_down(scene, caller):
-    scene.cloud.is_down = True
-    yield _BACK_SECONDS
-    scene.cloud.is_down = False
+def _cloud_is_down(scenario, caller):
+    scenario.cloud.is_down = True
+    yield _OUTAGE_SECONDS
+    scenario.cloud.is_down = False
 
 
 @_fault
-def _cloud_is_slow(scene, caller):
-    scene.cloud.delay = 1.5
-    yield _BACK_SECONDS
-    scene.cloud.delay = 0.01
+def _cloud_is_slow(scenario, caller):
+    scenario.cloud.delay = 1.5
+    yield _OUTAGE_SECONDS
+    scenario.cloud.delay = 0.01
 
 
 @_fault
-def _cloud_loses_replies(scene, caller):
-    scene.cloud.lost_replies = 3
-    yield _BACK_SECONDS
-    scene.cloud.lost_replies = 0
+def _cloud_loses_replies(scenario, caller):
+    scenario.cloud.lost_replies = 3
+    yield _OUTAGE_SECONDS
+    scenario.cloud.lost_replies = 0
 
 
 @_fault
-def _starts_are_refused(scene, caller):
-    scene.cloud.refused = {"sapporo-hall", "asahikawa-hall", "hakodate-hall"}
-    yield _BACK_SECONDS
-    scene.cloud.refused = set()
+def _starts_are_refused(scenario, caller):
+    scenario.cloud.refused = {"sapporo-hall", "asahikawa-hall", "hakodate-hall"}
+    yield _OUTAGE_SECONDS
+    scenario.cloud.refused = set()
 
 
 @_fault
-def _weight_store_is_down(scene, caller):
-    scene.weights.is_down = True
-    yield _BACK_SECONDS
-    scene.weights.is_down = False
+def _weight_store_is_down(scenario, caller):
+    scenario.weights.is_down = True
+    yield _OUTAGE_SECONDS
+    scenario.weights.is_down = False
 
 
 @_fault
-def _weight_store_is_wrong(scene, caller):
-    """It tells of sizes that would take years to load."""
-    sizes = dict(scene.weights.sizes)
-    scene.weights.sizes = dict.fromkeys(sizes, 10**18)
-    yield _BACK_SECONDS
-    scene.weights.sizes = sizes
+def _weight_store_is_wrong(scenario, caller):
+    """Report model sizes that would take years to load."""
+    sizes = dict(scenario.weights.sizes)
+    scenario.weights.sizes = dict.fromkeys(sizes, 10**18)
+    yield _OUTAGE_SECONDS
+    scenario.weights.sizes = sizes
 
 
 @_fault
-def _started_hosts_are_reclaimed(scene, caller):
-    for host in scene.cloud.living:
+def _started_hosts_are_reclaimed(scenario, caller):
+    for host in scenario.cloud.living:
         if host.token != host.id:
-            scene.cloud.reclaim(1.0, host_id=host.id)
+            scenario.cloud.reclaim(1.0, host_id=host.id)
     yield 1.0
 
 
 @_fault
-def _operators_race(scene, caller):
-    """Their changes carry the same number."""
+def _operators_race(scenario, caller):
+    """Send two more changes based on the same revision."""
     for number, host in enumerate(("entry-0", "entry-2")):
-        change = ChangeCaller(scene, host, 400 + number, f"racing-{number}")
-        scene.changes.append(change)
-        scene.nursery.start_soon(change.run)
+        change = ChangeCaller(scenario, host, 400 + number, f"racing-{number}")
+        scenario.changes.append(change)
+        scenario.nursery.start_soon(change.run)
     yield 1.0
 
 
 @_fault
-def _change_is_resent(scene, caller):
-    """As its caller has lost the reply."""
-    scene.change.resends = 3
-    scene.network.loss = 0.3
+def _change_is_resent(scenario, caller):
+    """Resend the change, as a caller does that lost the reply."""
+    scenario.change.resends = 3
+    scenario.network.loss = 0.3
     yield 1.0
-    scene.network.loss = 0.0
+    scenario.network.loss = 0.0
 
 
-def _pause(scene, name):
-    if name in scene.hosts.hosts:
-        host = scene.hosts.hosts[name]
+def _pause(scenario, name):
+    if name in scenario.hosts.hosts:
+        host = scenario.hosts.hosts[name]
         host.timers.pause()
         yield _PAUSE_SECONDS
         host.timers.resume()
@@ -340,51 +344,51 @@
         yield 0
 
 
-def _cut_off(scene, name, seconds=_CUT_SECONDS):
-    scene.network.isolate(name)
+def _cut_off(scenario, name, seconds=_CUT_SECONDS):
+    scenario.network.isolate(name)
     yield seconds
-    scene.network.heal()
+    scenario.network.heal()
 
 
-def _cut_one_way(scene, name, is_heard):
-    for other in scene.hosts.places:
+def _cut_one_direction(scenario, name, cuts_incoming):
+    for other in scenario.hosts.places:
         if other != name:
-            pair = (other, name) if is_heard else (name, other)
-            scene.network.cut(*pair)
+            pair = (other, name) if cuts_incoming else (name, other)
+            scenario.network.cut(*pair)
     yield _CUT_SECONDS
-    scene.network.heal()
+    scenario.network.heal()
 
 
-def _spoil(scene, name, wrong, right):
-    """Let half of the engines answer wrongly, among them the stream's."""
-    engines = scene.upstreams.engines[:2]
-    engines.append(scene.upstream(scene.stream))
+def _corrupt_answers(scenario, name, faulty_value, normal_value):
+    """Set a fault on half of the engines, including the stream's."""
+    engines = scenario.upstreams.engines[:2]
+    engines.append(scenario.upstream(scenario.stream))
     for engine in engines:
-        setattr(engine, name, wrong)
+        setattr(engine, name, faulty_value)
     yield _NETWORK_SECONDS
     for engine in engines:
-        setattr(engine, name, right)
+        setattr(engine, name, normal_value)
 
 
-async def _send_later(caller: RequestCaller, seconds: float) -> None:
+async def _run_after(caller: RequestCaller, seconds: float) -> None:
     await trio.sleep(seconds)
     await caller.run()
 
 
-async def _lose_two(scene: Scene) -> None:
-    """Lose one disk, and another as soon as the first host is said to be back."""
-    first = scene.hosts.leader
-    scene.kill(first, restart_after=1.0, is_disk_lost=True)
+async def _lose_two_disks(scenario: Scenario) -> None:
+    """Lose one disk, and a second one as soon as the log reports redundancy again."""
+    first = scenario.hosts.leader
+    scenario.kill(first, restart_after=1.0, is_disk_lost=True)
     await trio.sleep(1.0)
-    while not _is_redundant(scene):
+    while not _is_redundant(scenario):
         await trio.sleep(0.02)
-    others = [name for name in scene.hosts.disks if name != first]
-    scene.kill(others[0], restart_after=2.0, is_disk_lost=True)
-    scene.open_faults -= 1
+    others = [name for name in scenario.hosts.disks if name != first]
+    scenario.kill(others[0], restart_after=2.0, is_disk_lost=True)
+    scenario.open_faults -= 1
 
 
-def _is_redundant(scene: Scene) -> bool:
-    leader = scene.hosts.hosts.get(scene.hosts.leader)
-    if leader is None or not scene.hosts.disks.keys() <= scene.hosts.hosts.keys():
+def _is_redundant(scenario: Scenario) -> bool:
+    leader = scenario.hosts.hosts.get(scenario.hosts.leader)
+    if leader is None or not scenario.hosts.disks.keys() <= scenario.hosts.hosts.keys():
         return False
     return bool(leader.node.agreement.status().is_redundant)
--- a/tests/faults/steps.py
+++ b/tests/faults/steps.py
@@ -1,4 +1,4 @@
-"""Steps of requests and changes at which a fault strikes."""
+"""Steps of requests and changes at which a fault can be injected."""
 
 from collections.abc import Callable
 
@@ -7,50 +7,50 @@
 from pepperstep.fakes.steps import Step, StepKind
 from pepperstep.ports.upstreams import TokenChunk
 from pepperstep.proto import configuration_pb2, consensus_pb2
-from tests.faults.scene import MIDDLE, TOKENS, Scene, parts_of
+from tests.faults.scenario import MIDDLE, TOKENS, Scenario, records_and_checkpoints
 
 __all__ = [
     "CHANGE_STEPS",
     "REQUEST_STEPS",
     "SERVICE_STEPS",
     "STREAM_STEPS",
-    "strike_at",
+    "inject_at",
 ]
 
-Condition = Callable[[Scene, object, Step], bool]
+Condition = Callable[[Scenario, object, Step], bool]
 
 
-def _is_recorded_next(scene, caller, step) -> bool:
-    """The record is about to go to the second host."""
+def _is_recorded_next(scenario, caller, step) -> bool:
+    """The owner is about to send the request's record to the backup host."""
     return _is_batch(step) and any(
         record.request_id in caller.ids for record in step.detail.records
     )
 
 
-def _is_acknowledged_next(scene, caller, step) -> bool:
-    """The second host has the record, and is about to say so."""
+def _is_acknowledged_next(scenario, caller, step) -> bool:
+    """The backup host has the record and is about to acknowledge it."""
     return (
         step.kind is StepKind.SEND
         and step.detail.DESCRIPTOR.name == "JournalAck"
-        and step.host == scene.seconds.get(caller.name)
-        and step.subject == scene.owners.get(caller.name)
+        and step.host == scenario.backups.get(caller.name)
+        and step.subject == scenario.owners.get(caller.name)
     )
 
 
-def _is_claimed(scene, caller, step) -> bool:
-    """The claim is known to be committed; the second host is told next."""
+def _is_claimed(scenario, caller, step) -> bool:
+    """The claim is committed and about to be sent to the backup host."""
     return _is_batch(step) and any(
         part.request_id in caller.ids and part.is_dispatched
-        for part in parts_of(step.detail)
+        for part in records_and_checkpoints(step.detail)
     )
 
 
-def _is_dispatched_next(scene, caller, step) -> bool:
+def _is_dispatched_next(scenario, caller, step) -> bool:
     return step.kind is StepKind.OPEN and caller.has_attempt(step.subject)
 
 
 def _is_token(position: int) -> Condition:
-    def is_reached(scene, caller, step) -> bool:
+    def matches(scenario, caller, step) -> bool:
         return (
             step.kind is StepKind.TAKE
             and caller.has_attempt(step.subject)
@@ -58,18 +58,19 @@
             and step.detail.position >= position
         )
 
-    return is_reached
+    return matches
 
 
-def _is_replied_next(scene, caller, step) -> bool:
-    """The service has run, and its answer is about to be taken in."""
+def _is_replied_next(scenario, caller, step) -> bool:
+    """The service has run and the owner is about to read the answer."""
     return step.kind is StepKind.TAKE and caller.has_attempt(step.subject)
 
 
-def _is_answered_next(scene, caller, step) -> bool:
-    """The outcome is about to go to the second host."""
+def _is_answered_next(scenario, caller, step) -> bool:
+    """The outcome is about to be sent to the backup host."""
     return _is_batch(step) and any(
-        part.request_id in caller.ids and part.outcome for part in parts_of(step.detail)
+        part.request_id in caller.ids and part.outcome
+        for part in records_and_checkpoints(step.detail)
     )
 
 
@@ -77,40 +78,44 @@
     return _is_message(step, "JournalBatch")
 
 
-def _is_sent_next(scene, change, step) -> bool:
-    """The change is about to go from the operator's host to the leader."""
+def _is_sent_next(scenario, change, step) -> bool:
+    """The operator's host is about to forward the change to the leader."""
     return _is_message(step, "LogProposeRequest") and any(
-        change.is_in(proposal.command) for proposal in step.detail.proposals
+        change.is_contained_in(proposal.command) for proposal in step.detail.proposals
     )
 
 
-def _is_appended_next(scene, change, step) -> bool:
-    """The leader is about to write it."""
+def _is_appended_next(scenario, change, step) -> bool:
+    """The leader is about to write the change to its log."""
     is_written = step.kind is StepKind.WRITE and step.subject.startswith("append")
-    return is_written and step.host == scene.hosts.leader and change.is_in(step.detail)
+    return (
+        is_written
+        and step.host == scenario.hosts.leader
+        and change.is_contained_in(step.detail)
+    )
 
 
-def _is_committed_next(scene, change, step) -> bool:
-    """A follower has it on its disk, and is about to say so."""
+def _is_committed_next(scenario, change, step) -> bool:
+    """A follower has written the change and is about to acknowledge it."""
     if _is_message(step, "LogAppendRequest"):
         for offset, entry in enumerate(step.detail.entries, start=1):
-            if change.is_in(entry.proposal.command):
+            if change.is_contained_in(entry.proposal.command):
                 change.index = step.detail.previous_index + offset
     if not _is_message(step, "LogAppendReply") or not change.index:
         return False
     return step.detail.is_accepted and step.detail.match_index >= change.index
 
 
-def _is_applied(scene, change, step) -> bool:
-    """The leader has it in force, and is about to push it."""
+def _is_applied(scenario, change, step) -> bool:
+    """The leader has applied the change and is about to push it."""
     if not _is_message(step, "ConfigurationPush"):
         return False
-    return step.detail.update.revision > scene.revision
+    return step.detail.update.revision > scenario.revision
 
 
-def _is_acknowledged(scene, change, step) -> bool:
-    """The leader is about to say that it's accepted."""
-    if not _is_message(step, "LogProposeReply") or step.subject != change.home:
+def _is_acknowledged(scenario, change, step) -> bool:
+    """The leader is about to reply that the change is accepted."""
+    if not _is_message(step, "LogProposeReply") or step.subject != change.first_host:
         return False
     return any(map(_is_acceptance, step.detail.results))
 
@@ -119,7 +124,7 @@
     try:
         answer = configuration_pb2.ChangeResult.FromString(result.data)
     except DecodeError:
-        # The answer to another kind of proposal.
+        # The result belongs to another kind of proposal.
         return False
     return answer.status == "accepted"
 
@@ -155,14 +160,14 @@
 REQUEST_STEPS = {"stream": STREAM_STEPS, "service": SERVICE_STEPS}
 
 
-def strike_at(scene: Scene, condition: Condition, caller, strike) -> None:
-    """Call `strike` once, at the first step that fits."""
+def inject_at(scenario: Scenario, condition: Condition, caller, inject) -> None:
+    """Call `inject` once, at the first step that meets the condition."""
     is_done = False
 
     def watch(step: Step) -> None:
         nonlocal is_done
-        if not is_done and condition(scene, caller, step):
+        if not is_done and condition(scenario, caller, step):
             is_done = True
-            strike()
+            inject()
 
-    scene.hosts.steps.subscribe(watch)
+    scenario.hosts.steps.subscribe(watch)
--- a/tests/faults/test_changes.py
+++ b/tests/faults/test_changes.py
@@ -1,4 +1,8 @@
-"""Every fault at every step of a change; each cell asserts all promises."""
+"""Injects every fault at every step of a configuration change, and checks all promises.
+
+Guards against changes that are lost, applied twice or reverted when a host, a disk or a
+message is lost between two steps.
+"""
 
 import math
 
@@ -6,8 +10,8 @@
 
 from tests.faults.faults import FAULTS
 from tests.faults.promises import check_promises
-from tests.faults.scene import Scene
-from tests.faults.steps import CHANGE_STEPS, strike_at
+from tests.faults.scenario import Scenario
+from tests.faults.steps import CHANGE_STEPS, inject_at
 
 _FAULTS = [
     name
@@ -19,7 +23,7 @@
 
 
 def find_reason(step: str, fault: str) -> str:
-    """Return why a cell makes no sense, "" if it does."""
+    """Return why a cell is left out, "" if it is run."""
     if fault == "leader_is_cut_off_for_long" and step != "committed":
         return "Differs from leader_is_cut_off only after the change has its answer."
     return ""
@@ -35,15 +39,15 @@
 
 @pytest.mark.parametrize(("step", "fault"), CELLS)
 async def test_promises_hold(step, fault, autojump_clock):
-    async with Scene.start() as scene:
+    async with Scenario.start() as scenario:
         condition = CHANGE_STEPS[step]
-        # The host that the operator asks owns the requests as well.
-        strike_at(
-            scene,
+        # The operator's host also owns the requests.
+        inject_at(
+            scenario,
             condition,
-            scene.change,
-            lambda: FAULTS[fault].strike(scene, scene.stream),
+            scenario.change,
+            lambda: FAULTS[fault].inject(scenario, scenario.stream),
         )
-        await scene.run()
-        assert scene.struck_at < math.inf, "The step wasn't reached."
-        check_promises(scene)
+        await scenario.run()
+        assert scenario.injected_at < math.inf, "The step wasn't reached."
+        check_promises(scenario)
--- a/tests/faults/test_drains.py
+++ b/tests/faults/test_drains.py
@@ -1,20 +1,24 @@
-"""A host that leaves cuts nothing, also for callers that aren't connected to it."""
+"""A drained host breaks no request, including those of callers connected elsewhere.
+
+A request runs on its owner, which may be another host than its caller's. A drain that
+only waits for its own connections would cut such a request.
+"""
 
 import trio
 
 from pepperstep.entities import RequestKind
 from pepperstep.fakes import answer_of
-from tests.faults.scene import Scene
+from tests.faults.scenario import Scenario
 
-# Longer than a drain waits for.
+# Takes longer than a drain waits.
 _LONG_TOKENS = 700
-# Longer than callers may keep the list of entry hosts.
+# Exceeds the time for which callers may cache the list of entry hosts.
 _LONG_CALL_SECONDS = 5.0
 
 
 async def test_call_of_a_vanished_caller_ends(autojump_clock):
-    async with Scene.start() as scene:
-        hosts = scene.hosts
+    async with Scenario.start() as scenario:
+        hosts = scenario.hosts
         request = hosts.request(
             "entry-3",
             1,
@@ -27,15 +31,15 @@
         for name in ("quote-0", "quote-1"):
             hosts.upstreams.all[name].seconds = _LONG_CALL_SECONDS
         await hosts.call("entry-3", lambda node: node.requests.submit(request))
-        scene.nursery.start_soon(hosts.drain, "entry-3")
+        scenario.nursery.start_soon(hosts.drain, "entry-3")
         await trio.sleep(_LONG_CALL_SECONDS / 2)
         _, outcome = await hosts.read("entry-1", request.id, "planners")
         assert outcome.is_answered, outcome
 
 
 async def test_rolling_restart_stalls_no_stream(autojump_clock):
-    async with Scene.start() as scene:
-        hosts = scene.hosts
+    async with Scenario.start() as scenario:
+        hosts = scenario.hosts
         request = hosts.request("entry-3", 1, max_tokens=_LONG_TOKENS, seed=7)
         await hosts.call("entry-3", lambda node: node.requests.submit(request))
         tokens: list[str] = []
--- a/tests/faults/test_orders.py
+++ b/tests/faults/test_orders.py
@@ -1,4 +1,8 @@
-"""Every fault at every step of a host's start and of an order to an upstream."""
+"""Injects every fault at every step of a host's start and of an order to an upstream.
+
+Guards against starts and orders that are lost, doubled or left open when the leader,
+the cloud or the weight store fails between two steps.
+"""
 
 import math
 from dataclasses import replace
@@ -14,14 +18,14 @@
 from pepperstep.proto.fleet_pb2 import FleetCommand
 from tests.faults.faults import FAULTS
 from tests.faults.promises import check_promises
-from tests.faults.scene import KEY, ZONES, Scene, make_engine
-from tests.faults.steps import strike_at
+from tests.faults.scenario import KEY, ZONES, Scenario, make_engine
+from tests.faults.steps import inject_at
 
 _OFFERS = [Offer(zone, "gpu", PriceClass.RECLAIMABLE, 0.3) for zone in ZONES] + [
     Offer(zone, "gpu", PriceClass.ON_DEMAND, 1.0) for zone in ZONES
 ]
 _SETTLED_SECONDS = 90.0
-# Two more than the engines that are there.
+# Two more than the initial engines.
 _REPLICAS = 8
 _FAULTS = (
     "leader_is_killed",
@@ -40,7 +44,7 @@
 
 
 def _is_recorded_next(kind: str):
-    def is_reached(scene, caller, step: Step) -> bool:
+    def matches(scenario, caller, step: Step) -> bool:
         is_append = step.kind is StepKind.SEND and (
             step.detail.DESCRIPTOR.name == "LogAppendRequest"
         )
@@ -51,15 +55,15 @@
             for action in FleetCommand.FromString(entry.proposal.command).acts
         )
 
-    return is_reached
+    return matches
 
 
 def _is_call(kind: StepKind, name: str):
-    return lambda scene, caller, step: step.kind is kind and step.subject == name
+    return lambda scenario, caller, step: step.kind is kind and step.subject == name
 
 
 def _is_load(kind: StepKind):
-    return lambda scene, caller, step: (
+    return lambda scenario, caller, step: (
         step.kind is kind
         and step.subject == "send_order"
         and step.detail.kind is OrderKind.LOAD
@@ -77,7 +81,7 @@
 
 
 def find_reason(step: str, fault: str) -> str:
-    """Return why a cell makes no sense, "" if it does."""
+    """Return why a cell is left out, "" if it is run."""
     if fault == "started_hosts_are_reclaimed" and step in STEPS_WITHOUT_HOST:
         return "No host has started yet."
     if step.startswith("load") and fault in (
@@ -99,38 +103,40 @@
 @pytest.mark.parametrize(("step", "fault"), CELLS)
 async def test_promises_hold(step, fault, autojump_clock):
     weights = FakeWeightStore({(KEY.model, KEY.version): 10**9}, 1e9)
-    async with Scene.start(_OFFERS, weights, _REPLICAS) as scene:
-        scene.weights = weights
-        strike_at(
-            scene,
+    async with Scenario.start(_OFFERS, weights, _REPLICAS) as scenario:
+        scenario.weights = weights
+        inject_at(
+            scenario,
             STEPS[step],
-            scene.stream,
-            lambda: FAULTS[fault].strike(scene, scene.stream),
+            scenario.stream,
+            lambda: FAULTS[fault].inject(scenario, scenario.stream),
         )
-        scene.nursery.start_soon(_run_platform, scene)
-        await scene.run()
+        scenario.nursery.start_soon(_run_platform, scenario)
+        await scenario.run()
         with trio.move_on_after(_SETTLED_SECONDS):
-            while _find_open(scene):
+            while _find_inconsistency(scenario):
                 await trio.sleep(0.5)
-        assert scene.struck_at < math.inf, "The step wasn't reached."
-        assert not _find_open(scene)
-        _check_fences(scene)
-        check_promises(scene)
+        assert scenario.injected_at < math.inf, "The step wasn't reached."
+        assert not _find_inconsistency(scenario)
+        _check_fences(scenario)
+        check_promises(scenario)
 
 
-def _find_open(scene: Scene) -> str:
-    """Return what is still open, lost or doubled, "" if all is as recorded."""
-    leader = scene.hosts.hosts.get(scene.hosts.leader)
+def _find_inconsistency(scenario: Scenario) -> str:
+    """Return what is open, lost or doubled, "" if the cloud matches the record."""
+    leader = scenario.hosts.hosts.get(scenario.hosts.leader)
     if leader is None:
         return "No host leads."
     machine = leader.node._fleet.machine
     if machine.open_actions() or not machine.live_starts():
         return f"Open: {machine.open_actions()}."
-    living = {host.token: host.id for host in _started(scene)}
+    living = {host.token: host.id for host in _started_hosts(scenario)}
     recorded = {action.id: action.host_id for action in machine.live_starts()}
     if living != recorded:
-        return f"Lives {living}, recorded {recorded}."
-    engines = [e for e in scene.upstreams.engines if e.upstream.host in living.values()]
+        return f"Running {living}, recorded {recorded}."
+    engines = [
+        e for e in scenario.upstreams.engines if e.upstream.host in living.values()
+    ]
     if len(engines) != len(living) or any(
         KEY not in e.upstream.models for e in engines
     ):
@@ -138,28 +144,28 @@
     return ""
 
 
-def _check_fences(scene: Scene) -> None:
-    """No engine carries out an order older than one that it has taken."""
-    for engine in scene.upstreams.engines:
+def _check_fences(scenario: Scenario) -> None:
+    """Check that no engine executed an order older than one executed before."""
+    for engine in scenario.upstreams.engines:
         assert list(engine.fences) == sorted(set(engine.fences)), engine.fences
 
 
-def _started(scene: Scene) -> list:
-    return [host for host in scene.cloud.living if host.token != host.id]
+def _started_hosts(scenario: Scenario) -> list:
+    return [host for host in scenario.cloud.living if host.token != host.id]
 
 
-async def _run_platform(scene: Scene) -> None:
-    """Do what the hosts' images do: run an engine while the host lives."""
+async def _run_platform(scenario: Scenario) -> None:
+    """Run an engine on each running host, as the hosts' images do."""
     while True:
-        for host in scene.cloud.hosts:
+        for host in scenario.cloud.hosts:
             name = f"engine-of-{host.id}"
-            engine = scene.upstreams.all.get(name)
+            engine = scenario.upstreams.all.get(name)
             if host.token == host.id:
                 continue
             if host.state is HostState.STOPPED and engine is not None:
                 engine.die()
             elif host.state is HostState.RUNNING and engine is None:
-                scene.upstreams.add(_engine_on(host, name))
+                scenario.upstreams.add(_engine_on(host, name))
         await trio.sleep(0.2)
 
 
--- a/tests/faults/test_pairs.py
+++ b/tests/faults/test_pairs.py
@@ -1,4 +1,4 @@
-"""Pairs of faults, the second after the first has struck."""
+"""Injects pairs of faults, the second one shortly after the first."""
 
 import math
 
@@ -8,28 +8,28 @@
 
 from tests.faults.faults import FAULTS
 from tests.faults.promises import check_promises
-from tests.faults.scene import Scene
-from tests.faults.steps import REQUEST_STEPS, strike_at
+from tests.faults.scenario import Scenario
+from tests.faults.steps import REQUEST_STEPS, inject_at
 
 _EXAMPLES = 30
-_OF_ORDERS = (
+_ORDER_FAULTS = (
     "cloud_loses_replies",
     "starts_are_refused",
     "weight_store_is_down",
     "weight_store_is_wrong",
     "started_hosts_are_reclaimed",
 )
-# A minute of virtual time each, and covered at the steps of a change.
-_LONG = ("leader_is_cut_off_for_long",)
+# Each takes a minute of virtual time; test_changes.py covers it.
+_LONG_FAULTS = ("leader_is_cut_off_for_long",)
 
 
 def find_reason(first: str, second: str) -> str:
     """Return why a pair isn't drawn, "" if it is."""
     pair = {first, second}
-    if pair & {*_OF_ORDERS, *_LONG}:
-        return "It's a fault of other cells."
+    if pair & {*_ORDER_FAULTS, *_LONG_FAULTS}:
+        return "Covered by test_orders.py or test_changes.py."
     if pair == {"owner_is_killed", "second_is_killed"}:
-        return "A request's two copies are lost; only its announced loss is promised."
+        return "Both copies of a request are lost; only reporting that is promised."
     return ""
 
 
@@ -56,19 +56,19 @@
 
 async def _run_pair(pair, place, gap) -> None:
     name, step = place
-    async with Scene.start() as scene:
-        caller = getattr(scene, name)
+    async with Scenario.start() as scenario:
+        caller = getattr(scenario, name)
 
-        def strike() -> None:
-            FAULTS[pair[0]].strike(scene, caller)
-            scene.open_faults += 1
-            scene.later(gap, strike_second)
+        def inject() -> None:
+            FAULTS[pair[0]].inject(scenario, caller)
+            scenario.open_faults += 1
+            scenario.run_later(gap, inject_second)
 
-        def strike_second() -> None:
-            scene.open_faults -= 1
-            FAULTS[pair[1]].strike(scene, caller)
+        def inject_second() -> None:
+            scenario.open_faults -= 1
+            FAULTS[pair[1]].inject(scenario, caller)
 
-        strike_at(scene, REQUEST_STEPS[name][step], caller, strike)
-        await scene.run()
-        assert scene.struck_at < math.inf, "The step wasn't reached."
-        check_promises(scene)
+        inject_at(scenario, REQUEST_STEPS[name][step], caller, inject)
+        await scenario.run()
+        assert scenario.injected_at < math.inf, "The step wasn't reached."
+        check_promises(scenario)
--- a/tests/fleet/cluster.py
+++ b/tests/fleet/cluster.py
@@ -1,4 +1,4 @@
-"""Control hosts that run a fleet in one process, with a cloud and engines."""
+"""In-process control hosts that manage a fleet, with a fake cloud and engines."""
 
 import random
 from collections import defaultdict
@@ -36,7 +36,7 @@
     for zone, price in zip(ZONES, (0.30, 0.34, 0.38), strict=True)
 ] + [Offer(zone, "gpu", PriceClass.ON_DEMAND, 1.0) for zone in ZONES]
 
-# Short times, so that a run takes few steps.
+# Short times, so that a test takes few steps.
 QUICK = FleetTuning(
     period=2.0,
     notice_period=2.0,
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True)
 class SentOrder:
-    """An order as an upstream got it."""
+    """An order as sent to an upstream."""
 
     time: float
     sender: str
@@ -70,82 +70,88 @@
 
 
 class KillableAgreement(FakeAgreement):
-    """Agreement whose host may be killed before and after each commit."""
+    """Agreement with a fault point before and after each commit."""
 
     def __init__(self, host: str, log: FakeLog, cluster: "Cluster"):
         super().__init__(host, log)
         self._cluster = cluster
 
     async def propose(self, name: str, command: bytes, timeout: float) -> bytes:
-        await self._cluster.pass_point(self._host, "propose")
+        await self._cluster.reach_kill_point(self._host, "propose")
         result = await super().propose(name, command, timeout)
-        await self._cluster.pass_point(self._host, "committed")
+        await self._cluster.reach_kill_point(self._host, "committed")
         return result
 
 
-class LateUpstreams(FakeUpstreams):
-    """Upstreams that orders reach late, after their sender has given up."""
+class DelayedUpstreams(FakeUpstreams):
+    """Upstreams that receive orders after their sender has stopped waiting."""
 
     def __init__(self, cluster: "Cluster"):
         super().__init__()
         self._cluster = cluster
-        self.late_seconds = 0.0
-        # Fencing numbers that were carried out, by upstream.
-        self.carried_out: dict[str, list[int]] = defaultdict(list)
+        self.order_delay_seconds = 0.0
+        # Fencing numbers of executed orders, by upstream.
+        self.executed_fences: dict[str, list[int]] = defaultdict(list)
 
     async def send_order(self, upstream: Upstream, order: UpstreamOrder) -> None:
-        if self.late_seconds:
-            self._cluster.run_later(self.late_seconds, self._arrive, upstream, order)
+        if self.order_delay_seconds:
+            self._cluster.run_later(
+                self.order_delay_seconds, self._deliver, upstream, order
+            )
             raise UpstreamLost("Connection lost.")
-        await self._arrive(upstream, order)
+        await self._deliver(upstream, order)
 
-    async def _arrive(self, upstream: Upstream, order: UpstreamOrder) -> None:
+    async def _deliver(self, upstream: Upstream, order: UpstreamOrder) -> None:
         await super().send_order(upstream, order)
-        self.carried_out[upstream.name].append(order.fence)
+        self.executed_fences[upstream.name].append(order.fence)
 
 
-class Killable:
-    """A port whose caller may be killed before and after some calls."""
+class KillablePort:
+    """A port with a fault point before and after calls of some methods."""
 
     def __init__(self, inner, host: str, cluster: "Cluster", *names: str):
         self._inner = inner
         self._host = host
         self._cluster = cluster
-        self._names = names
+        self._killable_methods = names
 
     def __getattr__(self, name: str):
         method = getattr(self._inner, name)
-        if name not in self._names:
+        if name not in self._killable_methods:
             return method
 
         async def call(*arguments):
-            await self._cluster.pass_point(self._host, name)
-            self._cluster.note_call(self._host, name, arguments)
+            await self._cluster.reach_kill_point(self._host, name)
+            self._cluster.record_call(self._host, name, arguments)
             result = await method(*arguments)
-            await self._cluster.pass_point(self._host, f"{name} answered")
+            await self._cluster.reach_kill_point(self._host, f"{name} answered")
             return result
 
         return call
 
 
 @dataclass(frozen=True)
-class _Registry:
-    """Registry view of a site."""
+class _ClusterRegistry:
+    """Registry of a cluster's announced engines."""
 
     cluster: "Cluster"
 
     def upstreams(self) -> list[Upstream]:
-        return self.cluster.upstream_view()
+        return self.cluster.announced_upstreams()
 
 
 class Cluster:
-    """Control hosts, a cloud whose hosts run engines, and a weight store."""
+    """Control hosts, a cloud whose hosts run engines, and a weight store.
+
+    The calls of the first leader pass numbered fault points; at `fault_point` it is
+    killed, cut off from the log or frozen.
+    """
 
     def __init__(self, hosts: int = 2, tuning: FleetTuning = QUICK, **changes):
         self.tuning = tuning
         self.log = FakeLog()
         self.cloud = FakeCloud(OFFERS, start_seconds=5.0)
-        self.upstreams = LateUpstreams(self)
+        self.upstreams = DelayedUpstreams(self)
         self.weights = FakeWeightStore({("zaseki-7b", "1"): 10**9}, 1e9)
         self.configuration = Configuration(
             deployments={"zaseki-model": deployment(**changes)}
@@ -153,21 +159,21 @@
         # Requests in progress, by deployment.
         self.busy = {"zaseki-model": 32.0}
         self.checks_fencing = True
-        # Time from an accepted load until the model is announced.
+        # Time from an accepted load order until the engine announces the model.
         self.load_seconds = 0.0
-        # Time that the receiver of reclaim notices takes.
-        self.take_seconds = 0.01
+        # Time that the handler of reclaim notices takes.
+        self.handler_seconds = 0.01
         self.fleets: dict[str, Fleet] = {}
         self.sent: list[SentOrder] = []
-        self.handed: list[tuple[str, int]] = []
-        # Calls to cloud and upstreams that act, with time and caller.
+        self.delivered_notices: list[tuple[str, int]] = []
+        # Time, caller and method of calls that change the cloud or an upstream.
         self.calls: list[tuple[float, str, str]] = []
-        # Point at which the first leader is killed, or cut off from the log, or
-        # frozen for some seconds; and those that it passed.
-        self.kill_at: int | None = None
+        # Number of the fault point at which the first leader is killed, cut off from
+        # the log or frozen, and names of the points passed so far.
+        self.fault_point: int | None = None
         self.freeze_seconds = 0.0
-        self.is_cutting = False
-        self.points: list[str] = []
+        self.cuts_off_leader = False
+        self.passed_points: list[str] = []
         self.names = [f"control-{number}" for number in range(hosts)]
         self._scopes: dict[str, trio.CancelScope] = {}
         self._loaded_at: dict[tuple[str, ModelKey], float] = {}
@@ -176,82 +182,82 @@
     @classmethod
     @asynccontextmanager
     async def start(cls, **options) -> AsyncIterator["Cluster"]:
-        """Run a site until the block ends; the first host leads."""
+        """Run a cluster until the block ends; the first host leads."""
         cluster = cls(**options)
         async with trio.open_nursery() as cluster._nursery:
             cluster._nursery.start_soon(cluster._run_engines)
             for name in cluster.names:
                 await cluster.start_host(name)
-            cluster.lead("control-0")
+            cluster.elect("control-0")
             yield cluster
             cluster._nursery.cancel_scope.cancel()
 
     @property
     def machine(self):
-        """The record, as the newest life of a host has it."""
+        """State machine of the host that was started last."""
         return list(self.fleets.values())[-1].machine
 
     @property
     def engines(self) -> list[FakeEngine]:
-        """Engines that live."""
+        """Running engines."""
         return [engine for engine in self.upstreams.engines if engine.is_alive]
 
-    def lead(self, name: str) -> None:
-        """Elect a host in a new term."""
+    def elect(self, name: str) -> None:
+        """Make a host the leader in a new term."""
         self.log.leader = name
         self.log.term += 1
 
     async def start_host(self, name: str) -> None:
-        """Start a life of a control host."""
+        """Start a control host."""
         await self._nursery.start(self._run_host, name)
 
     def crash(self, name: str) -> None:
-        """End a control host's life without notice."""
+        """Crash a control host."""
         self.fleets.pop(name)
         self._scopes[name].cancel()
 
-    async def pass_point(self, host: str, name: str) -> None:
-        """Kill the first leader if it's time."""
+    async def reach_kill_point(self, host: str, name: str) -> None:
+        """Count a fault point of the first leader; inject the fault at `fault_point`."""
         if host != "control-0" or self.log.term != 2:
             return
-        self.points.append(name)
-        if len(self.points) != self.kill_at:
+        self.passed_points.append(name)
+        if len(self.passed_points) != self.fault_point:
             return
-        if self.is_cutting:
+        if self.cuts_off_leader:
             self.log.cut_hosts.add(host)
             self.calls.clear()
-            self.run_later(5, self.lead, "control-1")
+            self.run_later(5, self.elect, "control-1")
             return
         if self.freeze_seconds:
-            self.run_later(1.5, self.lead, "control-1")
+            self.run_later(1.5, self.elect, "control-1")
             await trio.sleep(self.freeze_seconds)
             return
         self.crash(host)
-        self._nursery.start_soon(self._elect_next)
+        self._nursery.start_soon(self._fail_over)
         await trio.lowlevel.checkpoint()
 
-    def run_later(self, seconds: float, work: Callable, *arguments) -> None:
-        """Do something after some time."""
+    def run_later(self, seconds: float, function: Callable, *arguments) -> None:
+        """Call `function` after a delay; await its result if there is one."""
 
         async def run() -> None:
             await trio.sleep(seconds)
             with suppress(UpstreamFault):
-                result = work(*arguments)
+                result = function(*arguments)
                 if result is not None:
                     await result
 
         self._nursery.start_soon(run)
 
-    def note_call(self, host: str, name: str, arguments: tuple) -> None:
-        """Keep a call."""
+    def record_call(self, host: str, name: str, arguments: tuple) -> None:
+        """Record a call, and the order that it sends."""
         now = trio.current_time()
         self.calls.append((now, host, name))
         if name == "send_order":
             upstream, order = arguments
             self.sent.append(SentOrder(now, host, upstream.name, order))
 
-    def upstream_view(self) -> list[Upstream]:
-        """Return the engines as they announce themselves."""
+    def announced_upstreams(self) -> list[Upstream]:
+        """Return the running engines with their announced models and load."""
         now = trio.current_time()
         views = []
         for engine in self.engines:
@@ -266,8 +272,12 @@
             views.append(view)
         return views
 
-    def check_whole(self, hosts: int) -> None:
-        """Check that no start, host or order is lost, doubled or left open."""
+    def check_consistent(self, hosts: int) -> None:
+        """Check that no start, host or order is lost, doubled or left open.
+
+        Raise AssertionError unless the cloud runs exactly the recorded `hosts` hosts,
+        each with one engine that has the model.
+        """
         assert not self.machine.open_actions()
         living = {host.token: host.id for host in self.cloud.living}
         assert living == {
@@ -282,11 +292,11 @@
         return KillableAgreement(name, self.log, self)
 
     async def run_agreement(self, agreement: Agreement) -> None:
-        """Run what the access needs."""
+        """Run the tasks of the agreement, none by default."""
 
-    async def _elect_next(self) -> None:
+    async def _fail_over(self) -> None:
         await trio.sleep(1.5)
-        self.lead("control-1")
+        self.elect("control-1")
         await trio.sleep(10)
         await self.start_host("control-0")
 
@@ -297,9 +307,9 @@
             ports = FleetPorts(
                 host=name,
                 agreement=self.make_agreement(name, nursery),
-                cloud=Killable(self.cloud, name, self, *calls),
-                upstreams=Killable(self.upstreams, name, self, *calls),
-                registry=_Registry(self),
+                cloud=KillablePort(self.cloud, name, self, *calls),
+                upstreams=KillablePort(self.upstreams, name, self, *calls),
+                registry=_ClusterRegistry(self),
                 timers=FakeTimers(random.Random(1)),
                 rng=random.Random(len(self.log.entries)),
                 weights=self.weights,
@@ -307,7 +317,7 @@
             self.fleets[name] = Fleet.from_config(
                 ports,
                 lambda: self.configuration,
-                lambda notices: self._take_notices(name, notices),
+                lambda notices: self._handle_notices(name, notices),
                 demand=lambda target: Demand(self.busy[target]),
                 tuning=self.tuning,
             )
@@ -315,19 +325,19 @@
             await nursery.start(self.fleets[name].run)
             task_status.started()
 
-    async def _take_notices(self, name: str, notices) -> None:
-        await trio.sleep(self.take_seconds)
-        self.handed += [(name, notice.id) for notice in notices]
+    async def _handle_notices(self, name: str, notices) -> None:
+        await trio.sleep(self.handler_seconds)
+        self.delivered_notices += [(name, notice.id) for notice in notices]
 
-    def upstreams_of(self, host_id: str) -> list[FakeEngine]:
-        """Return the engines that were ever on a host."""
+    def engines_on(self, host_id: str) -> list[FakeEngine]:
+        """Return the engines on a host, including stopped ones."""
         return [e for e in self.upstreams.engines if e.upstream.host == host_id]
 
     async def _run_engines(self) -> None:
-        """Do what the hosts' images do: run an engine while the host lives."""
+        """Run an engine on each running host, as the hosts' images do."""
         while True:
             for host in self.cloud.hosts:
-                engines = self.upstreams_of(host.id)
+                engines = self.engines_on(host.id)
                 if host.state is HostState.STOPPED:
                     for engine in engines:
                         engine.die()
@@ -346,6 +356,6 @@
         self.upstreams.add(engine)
 
 
-def loads(cluster: Cluster) -> list[SentOrder]:
-    """Return the loads that were sent."""
+def sent_loads(cluster: Cluster) -> list[SentOrder]:
+    """Return the load orders that were sent."""
     return [sent for sent in cluster.sent if sent.order.kind is OrderKind.LOAD]
--- a/tests/fleet/day.py
+++ b/tests/fleet/day.py
@@ -1,4 +1,4 @@
-"""A seeded day of two deployments, planned in steps of half a minute."""
+"""A seeded day of one deployment's demand and reclaims, planned every 30 seconds."""
 
 import math
 import random
@@ -31,7 +31,7 @@
 
 @dataclass
 class DayHost:
-    """A rented host and when it's ready."""
+    """A rented host and the time at which it is ready."""
 
     token: str
     key: PoolKey
@@ -41,59 +41,59 @@
 
 @dataclass
 class Day:
-    """One deployment's day under one policy."""
+    """A deployment's day under one policy, with its cost and unmet demand."""
 
     policy: str
     deployment: Deployment
     zones: tuple[str, ...]
     seed: int
     cost: float = 0.0
-    # Steps in which the ready slots were fewer than the requests.
-    short_steps: int = 0
+    # Steps with fewer ready slots than requests, in all and after reclaims.
+    overloaded_steps: int = 0
     wave_steps: int = 0
-    short_wave_steps: int = 0
+    overloaded_wave_steps: int = 0
     hosts: list[DayHost] = field(default_factory=list)
     _pools: dict[PoolKey, PoolHistory] = field(default_factory=dict)
     _refused_until: dict[str, float] = field(default_factory=dict)
 
     def run(self) -> "Day":
-        """Run the whole day; the same seed brings the same demand and waves."""
-        outside = random.Random(self.seed)
+        """Run the whole day; the same seed gives the same demand and reclaims."""
+        rng = random.Random(self.seed)
         peak = PeakDemand(_PEAK_WINDOW)
         last_wave = -math.inf
         for number in range(STEPS):
             now = number * STEP
-            busy = _busy(number, outside)
-            if outside.random() < _WAVES_A_DAY / STEPS:
-                self._reclaim(outside.choice(self.zones), now)
+            busy = _draw_demand(number, rng)
+            if rng.random() < _WAVES_A_DAY / STEPS:
+                self._reclaim(rng.choice(self.zones), now)
                 last_wave = now
-            roll = outside.random()
+            draw = rng.random()
             is_wave = now - last_wave < _PEAK_WINDOW
             self._count(now, busy, is_wave)
             need = needed_replicas(peak.add(now, Demand(busy)), self.deployment)
-            self._plan(now, need, roll)
+            self._plan(now, need, draw)
         return self
 
     @property
-    def held_share(self) -> float:
-        """Share of the steps in which the ready slots were enough."""
-        return 1 - self.short_steps / STEPS
+    def served_share(self) -> float:
+        """Share of the steps with enough ready slots."""
+        return 1 - self.overloaded_steps / STEPS
 
     @property
-    def held_wave_share(self) -> float:
-        """The same for the steps shortly after a zone was taken back."""
-        return 1 - self.short_wave_steps / max(1, self.wave_steps)
+    def served_wave_share(self) -> float:
+        """Share of the steps shortly after a zone's reclaim with enough ready slots."""
+        return 1 - self.overloaded_wave_steps / max(1, self.wave_steps)
 
     def _count(self, now: float, busy: float, is_wave: bool) -> None:
         self.cost += sum(host.price for host in self.hosts) * STEP / 3600
         ready = sum(host.ready_at <= now for host in self.hosts)
-        is_short = now > _START_SECONDS * 2 and ready * SLOTS < busy
-        self.short_steps += is_short
+        is_overloaded = now > _START_SECONDS * 2 and ready * SLOTS < busy
+        self.overloaded_steps += is_overloaded
         self.wave_steps += is_wave
-        self.short_wave_steps += is_short and is_wave
+        self.overloaded_wave_steps += is_overloaded and is_wave
 
     def _reclaim(self, zone: str, now: float) -> None:
-        """Take a zone back; for a while it starts nothing, nor does the next."""
+        """Reclaim a zone; it and the next one refuse reclaimable starts for a while."""
         lost = [
             host
             for host in self.hosts
@@ -101,12 +101,14 @@
         ]
         for host in lost:
             self.hosts.remove(host)
-            self._mark(PoolEvent(host.key, PoolEventKind.RECLAIMED, now + 90), now)
+            self._apply_event(
+                PoolEvent(host.key, PoolEventKind.RECLAIMED, now + 90), now
+            )
         other = self.zones[(self.zones.index(zone) + 1) % len(self.zones)]
-        for refused in (zone, other):
-            self._refused_until[refused] = now + _REFUSED_SECONDS
+        for refusing_zone in (zone, other):
+            self._refused_until[refusing_zone] = now + _REFUSED_SECONDS
 
-    def _plan(self, now: float, need, roll: float) -> None:
+    def _plan(self, now: float, need, draw: float) -> None:
         view = DeploymentView(
             "day",
             need,
@@ -123,23 +125,25 @@
         for number, decision in enumerate(plan_fleet([view], self.policy)):
             if isinstance(decision, StartHost):
                 key = PoolKey.of(decision.offer)
-                self._start(f"{now}-{number}", key, decision.offer.price, now, roll)
+                self._start(f"{now}-{number}", key, decision.offer.price, now, draw)
             else:
                 self.hosts = [h for h in self.hosts if h.token != decision.token]
 
-    def _start(self, token: str, key: PoolKey, price: float, now: float, roll) -> None:
+    def _start(self, token: str, key: PoolKey, price: float, now: float, draw) -> None:
         is_refusing = self._refused_until.get(key.zone, 0) > now
         if is_refusing and key.price_class is PriceClass.RECLAIMABLE:
-            wait = min(
+            backoff_seconds = min(
                 300.0, 5.0 * 2 ** self._pools.get(key, PoolHistory()).refusals_in_row
             )
-            wait *= 0.5 + roll / 2
-            self._mark(PoolEvent(key, PoolEventKind.REFUSED, now + wait), now)
+            backoff_seconds *= 0.5 + draw / 2
+            self._apply_event(
+                PoolEvent(key, PoolEventKind.REFUSED, now + backoff_seconds), now
+            )
             return
-        self._mark(PoolEvent(key, PoolEventKind.STARTED), now)
+        self._apply_event(PoolEvent(key, PoolEventKind.STARTED), now)
         self.hosts.append(DayHost(token, key, price, now + _START_SECONDS))
 
-    def _mark(self, mark: PoolEvent, now: float) -> None:
+    def _apply_event(self, mark: PoolEvent, now: float) -> None:
         self._pools[mark.key] = self._pools.get(mark.key, PoolHistory()).with_event(
             mark, now
         )
@@ -167,8 +171,8 @@
         return views
 
 
-def _busy(number: int, rng: random.Random) -> float:
-    """Return the requests in progress: a day's curve with noise."""
+def _draw_demand(number: int, rng: random.Random) -> float:
+    """Return the requests in progress: a daily curve with Gaussian noise."""
     curve = 0.5 - 0.5 * math.cos(number / STEPS * 2 * math.pi)
     mean = 15 + 65 * curve
     return max(0.0, rng.gauss(mean, math.sqrt(mean)))
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -1,4 +1,4 @@
-"""The loop with refusals, reclaims, orphans, versions, weights and costs."""
+"""Control loop with refused starts, reclaims, orphans, rollouts and costs."""
 
 from dataclasses import replace
 
@@ -11,7 +11,7 @@
 from pepperstep.fleet import ActionKind, CostKey, Event, record_events
 from pepperstep.ports.cloud import CloudHost, HostState, PriceClass
 from pepperstep.ports.upstreams import GenerateOrder, OrderKind
-from tests.fleet.cluster import KEY, OFFERS, Cluster, deployment, loads
+from tests.fleet.cluster import KEY, OFFERS, Cluster, deployment, sent_loads
 
 NAME = "zaseki-model"
 NEW = ModelKey("zaseki-7b", "", "2")
@@ -25,20 +25,20 @@
     async with Cluster.start() as cluster:
         cluster.cloud.refused = {"sapporo-hall", "asahikawa-hall"}
         await trio.sleep(60)
-        # One reclaimable zone is left, whose loss on-demand hosts must bear. At
-        # an equal weight on cost they may fill all that is wanted; in the
-        # refusing zones they are refused as well.
+        # One reclaimable zone remains, and on-demand hosts must cover its loss. At a
+        # cost weight of 0.5 they may fill up to the wanted number. The refusing zones
+        # refuse them as well.
         assert _classes(cluster) == [("hak", "on_demand")] * 2 + [
             ("hak", "reclaimable")
         ]
         refusals = cluster.cloud.refusals
         await trio.sleep(600)
-        # Back-off with a growing time: far fewer than one try a period.
+        # Exponential backoff: far less than one attempt per period.
         assert cluster.cloud.refusals - refusals < 30
         cluster.cloud.refused.clear()
         await trio.sleep(700)
         assert {price_class for _, price_class in _classes(cluster)} == {"reclaimable"}
-        cluster.check_whole(3)
+        cluster.check_consistent(3)
 
 
 async def test_wave_with_refused_replacements(autojump_clock):
@@ -57,7 +57,7 @@
         assert any("No host in" in text for text in texts)
 
 
-async def test_cloud_out_of_reach_and_lost_replies(autojump_clock):
+async def test_unreachable_cloud_and_lost_replies(autojump_clock):
     async with Cluster.start() as cluster:
         cluster.cloud.lost_replies = 3
         await trio.sleep(30)
@@ -68,7 +68,7 @@
         )
         cluster.weights.sizes["zaseki-7b", "2"] = 10**9
         await trio.sleep(30)
-        # Orders to upstreams go on.
+        # Orders to upstreams don't depend on the cloud.
         assert all(NEW in engine.upstream.models for engine in cluster.engines)
         cluster.cloud.is_down = False
         cluster.cloud.delay = 11.0
@@ -83,7 +83,7 @@
         cluster.busy[NAME] = 1000.0
         cluster.cloud.delay = 4.0
         await trio.sleep(30)
-        # Begun within the time of one call, the others in the next period.
+        # Starts not sent within the timeout of one call wait for the next period.
         assert 0 < len(cluster.cloud.hosts) <= 3 * cluster.tuning.cloud_calls
         await trio.sleep(200)
         assert len(cluster.cloud.hosts) > 80
@@ -91,7 +91,7 @@
         assert max(cluster.cloud.asked.values()) == 1
 
 
-async def test_orphans_are_stopped_and_foreign_hosts_left(autojump_clock):
+async def test_orphans_are_stopped_and_foreign_hosts_kept(autojump_clock):
     async with Cluster.start() as cluster:
         await trio.sleep(40)
         zone, machine, price_class, price = (
@@ -124,7 +124,7 @@
     async with Cluster.start() as cluster:
         await trio.sleep(40)
         cluster.busy[NAME] = 5.0
-        # Its host is the dearest.
+        # The most expensive host is stopped first.
         chosen = next(e for e in cluster.engines if e.upstream.zone == "hakodate-hall")
         order = GenerateOrder("a", KEY, "Seat them.", (), 3000, 1, 0)
         async with cluster.upstreams.generate(chosen.upstream, order) as chunks:
@@ -132,7 +132,7 @@
                 assert chosen.is_alive
         assert chosen.upstream.is_leaving
         await trio.sleep(20)
-        cluster.check_whole(2)
+        cluster.check_consistent(2)
         times = {e.kind: e.time for e in cluster.machine.events.since()}
         assert times["stop_done"] - times["stop"] >= cluster.tuning.drain_settle
 
@@ -143,7 +143,7 @@
         cluster.upstreams.all["engine-host-1"].die()
         await trio.sleep(120)
         assert "host-1" not in {host.id for host in cluster.cloud.living}
-        cluster.check_whole(3)
+        cluster.check_consistent(3)
 
 
 @pytest.mark.parametrize("busy", [32.0, 150.0])
@@ -160,10 +160,10 @@
         unloads_seen = 0
         for _ in range(300):
             await trio.sleep(0.5)
-            views = cluster.upstream_view()
+            views = cluster.announced_upstreams()
             old = sum(KEY in view.models for view in views)
             new = sum(NEW in view.models for view in views)
-            # Old ones stay until the new ones can take all.
+            # The old version stays until all engines have the new one.
             assert old == count or new == count
             unloads_seen += old < count
         assert unloads_seen
@@ -174,15 +174,15 @@
 async def test_loads_share_the_rate_of_the_weight_store(autojump_clock):
     async with Cluster.start() as cluster:
         cluster.busy[NAME] = 150.0
-        # A load takes 12 s; 30 s of the rate may be on order.
+        # A load takes 12 s; concurrent loads may take 30 s.
         cluster.weights.sizes[KEY.model, KEY.version] = 12 * 10**9
         cluster.load_seconds = 12.0
         await trio.sleep(200)
-        times = [sent.time for sent in loads(cluster)]
+        times = [sent.time for sent in sent_loads(cluster)]
         assert len(times) == len(cluster.engines) > 6
         for start in times:
             assert sum(start <= time < start + 11 for time in times) <= 2
-        cluster.check_whole(len(cluster.engines))
+        cluster.check_consistent(len(cluster.engines))
 
 
 async def test_model_that_the_store_lacks_is_not_ordered(autojump_clock):
@@ -190,28 +190,28 @@
         del cluster.weights.sizes[KEY.model, KEY.version]
         await trio.sleep(30)
         assert len(cluster.engines) == 3
-        assert not loads(cluster)
+        assert not sent_loads(cluster)
         cluster.weights.is_down = True
         cluster.weights.sizes[KEY.model, KEY.version] = 1
         await trio.sleep(10)
         cluster.weights.is_down = False
         await trio.sleep(10)
-        assert len(loads(cluster)) == 3
+        assert len(sent_loads(cluster)) == 3
 
 
 async def test_refused_order_is_given_again_after_a_pause(autojump_clock):
     async with Cluster.start() as cluster:
         await trio.sleep(9.9)
-        # Another life of the system has given higher numbers.
+        # The engines have seen higher fencing numbers than this log gives.
         for engine in cluster.engines:
             engine.fence = 1000
         await trio.sleep(40)
-        # Three engines, one try in six seconds.
-        assert len(loads(cluster)) <= 3 * 8
+        # Three engines, one attempt in six seconds.
+        assert len(sent_loads(cluster)) <= 3 * 8
         for engine in cluster.engines:
             engine.fence = 12
         await trio.sleep(20)
-        cluster.check_whole(3)
+        cluster.check_consistent(3)
         refused = [a for a in cluster.machine.finished if a.state == "refused"]
         assert refused
         assert all(
@@ -223,35 +223,35 @@
     return [e for e in cluster.machine.events.since() if e.kind.endswith(ending)]
 
 
-async def test_notices_are_handed_on_once_and_in_order(autojump_clock):
+async def test_notices_are_delivered_once_and_in_order(autojump_clock):
     async with Cluster.start() as cluster:
         await trio.sleep(40)
         for host_id in ("host-2", "host-1"):
             cluster.cloud.reclaim(30, host_id=host_id)
             await trio.sleep(3)
-        cluster.lead("control-1")
+        cluster.elect("control-1")
         await trio.sleep(30)
-        assert cluster.handed == [("control-0", 1), ("control-0", 2)]
+        assert cluster.delivered_notices == [("control-0", 1), ("control-0", 2)]
         assert cluster.machine.last_notice == 2
-        # Kept until they can't matter any more.
+        # Retained after delivery until their retention time has passed.
         assert set(cluster.machine.notices) == {1, 2}
         await trio.sleep(800)
         assert not cluster.machine.notices
 
 
-async def test_notices_that_were_not_taken_are_handed_on_again(autojump_clock):
+async def test_unhandled_notices_are_delivered_again(autojump_clock):
     async with Cluster.start() as cluster:
         await trio.sleep(40)
-        cluster.take_seconds = 100.0
+        cluster.handler_seconds = 100.0
         cluster.cloud.reclaim(60, host_id="host-2")
         await trio.sleep(20)
-        assert not cluster.handed
+        assert not cluster.delivered_notices
         assert not cluster.machine.handed_notices
-        # Nothing else waits for it.
+        # The control loop goes on meanwhile.
         assert len(cluster.cloud.hosts) > 3
-        cluster.take_seconds = 0.01
+        cluster.handler_seconds = 0.01
         await trio.sleep(10)
-        assert cluster.handed == [("control-0", 1)]
+        assert cluster.delivered_notices == [("control-0", 1)]
 
 
 async def test_costs_are_counted_by_deployment_and_class(autojump_clock):
@@ -262,7 +262,7 @@
         key = CostKey(NAME, PriceClass.RECLAIMABLE)
         assert costs.rates == {key: pytest.approx(0.30 + 0.34 + 0.38)}
         before = costs.totals_at(now)[key]
-        cluster.lead("control-1")
+        cluster.elect("control-1")
         await trio.sleep(1800)
         after = cluster.machine.costs.totals_at(now + 1800)[key]
         assert after - before == pytest.approx(1.02 / 2, rel=0.01)
--- a/tests/fleet/test_leader_changes.py
+++ b/tests/fleet/test_leader_changes.py
@@ -1,4 +1,8 @@
-"""Leaders that are cut off, frozen or late, and the ones that follow them."""
+"""Leaders that are isolated, frozen or slow, and their successors.
+
+Guards against calls of an old leader that take effect after the next one has begun: a
+leader that loses its quorum or its processor may still reach the cloud and upstreams.
+"""
 
 import random
 from dataclasses import replace
@@ -10,7 +14,7 @@
 from pepperstep.fakes import FakeAgreement, FakeTimers
 from pepperstep.fleet import Action, ActionKind, FleetStateMachine, FleetTuning
 from pepperstep.fleet.record import FleetRecord
-from tests.fleet.cluster import QUICK, Cluster, loads
+from tests.fleet.cluster import QUICK, Cluster, sent_loads
 
 HOUR = 3600.0
 
@@ -19,90 +23,96 @@
     slow = replace(QUICK, period=10.0, notice_period=10.0)
     async with Cluster.start(tuning=slow) as cluster:
         await trio.sleep(60)
-        cluster.check_whole(3)
-        # It still reaches upstreams and cloud, and no quorum of the log.
+        cluster.check_consistent(3)
+        # The leader still reaches upstreams and the cloud, but no quorum of the log.
         cluster.log.cut_hosts.add("control-0")
         cluster.cloud.reclaim(6, zone="sapporo-hall")
         await trio.sleep(5)
-        cluster.lead("control-1")
+        cluster.elect("control-1")
         await trio.sleep(HOUR)
         cluster.log.cut_hosts.clear()
         await trio.sleep(120)
         assert not [c for c in cluster.calls if c[1] == "control-0" and c[0] > 60]
-        cluster.check_whole(3)
+        cluster.check_consistent(3)
 
 
 @pytest.mark.parametrize("step", range(2, 115, 4))
-async def test_frozen_leader_does_no_harm_on_return(step, autojump_clock):
+async def test_resumed_leader_sends_no_stale_orders(step, autojump_clock):
     async with Cluster.start() as cluster:
-        cluster.kill_at = step
+        cluster.fault_point = step
         cluster.freeze_seconds = 40.0
         await trio.sleep(20)
         cluster.cloud.reclaim(6, zone="sapporo-hall")
         await trio.sleep(24)
         cluster.busy["zaseki-model"] = 5.0
         await trio.sleep(96)
-        cluster.check_whole(2)
+        cluster.check_consistent(2)
         assert len(cluster.cloud.hosts) == 5
-        for fences in cluster.upstreams.carried_out.values():
+        for fences in cluster.upstreams.executed_fences.values():
             assert fences == sorted(fences)
 
 
 @pytest.mark.parametrize("step", range(2, 115, 4))
-async def test_cut_leader_sends_nothing_it_has_recorded(step, autojump_clock):
+async def test_isolated_leader_sends_no_recorded_actions(step, autojump_clock):
     async with Cluster.start() as cluster:
-        cluster.kill_at = step
-        cluster.is_cutting = True
+        cluster.fault_point = step
+        cluster.cuts_off_leader = True
         await trio.sleep(20)
         cluster.cloud.reclaim(6, zone="sapporo-hall")
         await trio.sleep(24)
         cluster.busy["zaseki-model"] = 5.0
         await trio.sleep(96)
         own = [call for call in cluster.calls if call[1] == "control-0"]
-        # A call that had begun goes out.
-        is_begun = cluster.points[step - 1] in ("start_host", "stop_host", "send_order")
+        # A call that was in progress at the cut is sent.
+        is_begun = cluster.passed_points[step - 1] in (
+            "start_host",
+            "stop_host",
+            "send_order",
+        )
         assert len(own) <= is_begun
-        cluster.check_whole(2)
+        cluster.check_consistent(2)
 
 
 @pytest.mark.parametrize("checks_fencing", [True, False])
 @pytest.mark.parametrize("is_set_by", ["upstream", "deployment"])
-async def test_late_orders_of_the_last_leader(
+async def test_late_orders_of_the_previous_leader(
     checks_fencing, is_set_by, autojump_clock
 ):
     options = {"checks_fencing": checks_fencing} if is_set_by == "deployment" else {}
     async with Cluster.start(**options) as cluster:
         if is_set_by == "upstream":
             cluster.checks_fencing = checks_fencing
-        # Its loads arrive when the next leader may have given orders already.
-        cluster.upstreams.late_seconds = 4.5
-        while not loads(cluster):
+        # Load orders arrive after the next leader may have sent its own.
+        cluster.upstreams.order_delay_seconds = 4.5
+        while not sent_loads(cluster):
             await trio.sleep(0.1)
         sent_at = trio.current_time()
         cluster.crash("control-0")
-        cluster.lead("control-1")
-        cluster.upstreams.late_seconds = 0.0
+        cluster.elect("control-1")
+        cluster.upstreams.order_delay_seconds = 0.0
         await trio.sleep(40)
-        cluster.check_whole(3)
-        assert len(cluster.upstreams.carried_out) == 3
-        for fences in cluster.upstreams.carried_out.values():
-            assert fences == sorted(fences), "An older order came after a newer one."
-        again = [s.time for s in loads(cluster) if s.sender == "control-1"]
+        cluster.check_consistent(3)
+        assert len(cluster.upstreams.executed_fences) == 3
+        for fences in cluster.upstreams.executed_fences.values():
+            assert fences == sorted(fences), (
+                "An older order was executed after a newer one."
+            )
+        again = [s.time for s in sent_loads(cluster) if s.sender == "control-1"]
         if checks_fencing:
             assert min(again) < sent_at + 4.5
         else:
-            # The late order was read back as carried out.
+            # The next leader read back that the late order was executed.
             assert not again
 
 
-async def test_doubtful_order_is_read_back_before_another(autojump_clock):
+async def test_unconfirmed_order_is_read_back_before_retry(autojump_clock):
     async with Cluster.start() as cluster:
         cluster.checks_fencing = False
-        cluster.upstreams.late_seconds = 3.0
+        cluster.upstreams.order_delay_seconds = 3.0
         await trio.sleep(60)
-        cluster.check_whole(3)
-        # Found loaded when read back: no second load was sent.
-        assert len(loads(cluster)) == 3
+        cluster.check_consistent(3)
+        # The model was loaded when the state was read back: no second order.
+        assert len(sent_loads(cluster)) == 3
 
 
 async def test_order_is_not_sent_at_the_lease_end(autojump_clock):
@@ -112,10 +122,10 @@
         assert not cluster.sent
         cluster.log.lease = 1.0
         await trio.sleep(20)
-        cluster.check_whole(3)
+        cluster.check_consistent(3)
 
 
-async def test_machine_refuses_an_older_epoch(autojump_clock):
+async def test_state_machine_fences_off_older_epochs(autojump_clock):
     async with Cluster.start() as cluster:
         await trio.sleep(5)
         old = FleetRecord(
@@ -127,7 +137,7 @@
             FleetTuning(),
         )
         await old.begin()
-        cluster.lead("control-1")
+        cluster.elect("control-1")
         await trio.sleep(10)
         action = Action(id="fleet-x", kind=ActionKind.STOP, host_id="host-1")
         with pytest.raises(Failure) as caught:
@@ -135,7 +145,7 @@
         assert caught.value.code is Code.FENCED
         assert not old.is_valid
         assert "fleet-x" not in cluster.machine.actions
-        # A host that missed the newer term can't open an epoch either.
+        # A host that leads in an older term can't open an epoch.
         cluster.log.term -= 1
         with pytest.raises(Failure, match="newer term"):
             await FleetRecord(
@@ -148,17 +158,17 @@
             ).begin()
 
 
-async def test_snapshot_and_repeats_give_the_same_record(autojump_clock):
+async def test_snapshot_and_repeated_commands_give_the_same_state(autojump_clock):
     async with Cluster.start() as cluster:
         cluster.log.copies = 2
         cluster.log.lost_replies = 3
         await trio.sleep(60)
-        cluster.check_whole(3)
+        cluster.check_consistent(3)
         assert len(cluster.cloud.hosts) == 3
         restored = FleetStateMachine()
         restored.restore(cluster.machine.snapshot())
         assert restored.snapshot() == cluster.machine.snapshot()
-        # Half of the log, then a snapshot, then the rest.
+        # Apply half of the log, restore a snapshot of it, and apply the other half.
         other = FleetStateMachine()
         entries = [command for name, command in cluster.log.entries if name == "fleet"]
         for index, command in enumerate(entries):
--- a/tests/fleet/test_plan.py
+++ b/tests/fleet/test_plan.py
@@ -1,4 +1,4 @@
-"""Decisions on hosts and models as plain functions."""
+"""Planning of hosts, models and replicas as pure functions."""
 
 from collections import Counter
 from dataclasses import replace
@@ -70,17 +70,17 @@
 @pytest.mark.parametrize(
     ("view", "starts"),
     [
-        # Two of three bear the loss of a zone; all three zones are cheapest.
+        # Two of three hosts survive the loss of a zone: one in each zone is cheapest.
         (_view(2, 3), {(0, SPOT): 1, (1, SPOT): 1, (2, SPOT): 1}),
         (_view(4, 5), {(0, SPOT): 2, (1, SPOT): 2, (2, SPOT): 2}),
-        # One zone left: on-demand hosts bear its loss.
+        # One reclaimable zone: on-demand hosts cover its loss.
         (_view(2, 3, pools=_pools(0, 1)), {(2, SPOT): 1, (1, FIXED): 2}),
-        # No zone left: what must remain, and for latency what is wanted.
+        # No reclaimable zone: the base need, or at a low cost weight the wanted one.
         (_view(2, 3, pools=_pools(0, 1, 2), cost_weight=0.8), {(1, FIXED): 2}),
         (_view(2, 3, pools=_pools(0, 1, 2), cost_weight=0.2), {(1, FIXED): 3}),
-        # What can start in time needs no headroom.
+        # Replicas that can start within a notice need no spare capacity.
         (_view(2, 2, startable=2), {(0, SPOT): 2}),
-        # Many reclaims make a zone dearer than the others.
+        # Recent reclaims raise the risk price of a zone above the others.
         (_view(2, 2, startable=2, pools=_pools(reclaims=(3, 0, 0))), {(1, SPOT): 2}),
         (_view(4, 5, max_replicas=2), {(0, SPOT): 1, (1, SPOT): 1}),
         # Hosts that are leaving don't count.
@@ -97,7 +97,7 @@
 @pytest.mark.parametrize(
     ("view", "stops"),
     [
-        # The dearest goes first, and none under what is wanted.
+        # The most expensive host is stopped, down to the wanted number.
         (_view(2, 3, hosts=_hosts(_key(0), _key(1), _key(2), _key(2, FIXED))), ["h3"]),
         (
             _view(
@@ -111,7 +111,7 @@
             ),
             [],
         ),
-        # A stop never leaves less than must remain after a zone's loss.
+        # A stop never leaves less than the base need after the loss of a zone.
         (
             _view(
                 2,
@@ -125,7 +125,7 @@
         ),
         (_view(1, 1, hosts=_hosts(*[_key(0)] * 4), may_stop=False), []),
         (_view(1, 1, hosts=_hosts(_key(0), _key(1), has_failed=True)), ["h0", "h1"]),
-        # A host that the fleet didn't start, or that has no id yet, stays.
+        # Hosts that the fleet didn't start, or that have no id yet, are kept.
         (
             _view(
                 1,
@@ -276,7 +276,7 @@
         pool = pool.with_event(
             PoolEvent(_key(0), PoolEventKind.REFUSED, time + 50), time
         )
-    # Starts that were asked for together count once.
+    # Refusals of starts sent together count once.
     assert (pool.refusals_in_row, pool.blocked_until) == (2, 150)
     assert (
         pool.with_event(PoolEvent(_key(0), PoolEventKind.STARTED), 120).refusals_in_row
@@ -301,7 +301,7 @@
 @pytest.mark.parametrize(
     ("views", "orders"),
     [
-        # The least covered deployment first, then the one that weighs latency.
+        # The least covered deployment first, then the lowest cost weight.
         (
             [
                 RolloutView("a", KEY, (_engine(1), _engine(2)), 2, 10.0, 0.9),
@@ -352,9 +352,9 @@
     for policy, day in sorted(days.items()):
         print(
             f"{name} {policy}: cost {day.cost:.1f} ({day.cost / dearest:.0%}), "
-            f"held {day.held_share:.2%}, after waves {day.held_wave_share:.2%}"
+            f"held {day.served_share:.2%}, after waves {day.served_wave_share:.2%}"
         )
     planned = days["planned"]
     assert planned.cost <= 0.7 * dearest
-    assert planned.held_share >= 0.95
-    assert planned.held_wave_share >= 0.95
+    assert planned.served_share >= 0.95
+    assert planned.served_wave_share >= 0.95
--- a/tests/fleet/test_platform.py
+++ b/tests/fleet/test_platform.py
@@ -1,4 +1,4 @@
-"""Clients of the cloud and the weight store, against their stand-ins' processes."""
+"""HTTP clients of the cloud and the weight store against stand-in processes."""
 
 import os
 import socket
@@ -23,7 +23,7 @@
 
 @asynccontextmanager
 async def _standin(name: str, *arguments: str) -> AsyncIterator[str]:
-    """Run a stand-in and give its address."""
+    """Run a stand-in process and yield its base URL."""
     with socket.create_server(("127.0.0.1", 0)) as free:
         address = f"127.0.0.1:{free.getsockname()[1]}"
     command = [sys.executable, "-m", f"standins.{name}", f"--address={address}"]
@@ -92,7 +92,7 @@
                 with pytest.raises(OSError):
                     await call()
         await _call("POST", f"{url}/standin/v1/faults", {})
-        # What was answered wrongly was carried out, and no start doubled.
+        # Starts with a malformed answer were executed, and none twice.
         tokens = [host.token for host in await cloud.list_hosts()]
         assert tokens == ["fleet-1-1", "fleet-1-4"]
 
@@ -144,5 +144,5 @@
         await _call("POST", f"{url}/standin/v1/faults", {"dies": "during"})
         with pytest.raises((httpcore.ProtocolError, httpcore.NetworkError)):
             await _call("POST", f"{url}/quotes", "q")
-        # The run that its death has cut is known.
+        # The run interrupted by the crash is recorded.
         assert len(runs.read_text().split()) == 3
--- a/tests/fleet/test_replicated_log.py
+++ b/tests/fleet/test_replicated_log.py
@@ -1,4 +1,8 @@
-"""The fleet on the replicated log itself, whose lease is by the clock."""
+"""The fleet on the real replicated log with its clock-based lease.
+
+Guards against an isolated leader that acts after its lease has expired, and against
+actions lost in a series of leader crashes.
+"""
 
 import random
 from dataclasses import replace
@@ -9,7 +13,7 @@
 from pepperstep.fakes import FakeDisk, FakeNetwork, FakePeers, FakeTimers
 from tests.fleet.cluster import QUICK, Cluster
 
-# Slow, so that an hour takes few messages.
+# Long intervals, so that an hour takes few messages.
 _LOG = Tuning(heartbeat=2.0, election=8.0, call_timeout=2.0, forward_timeout=6.0)
 _FLEET = replace(
     QUICK, period=8.0, notice_period=8.0, lease=_LOG.lease, commit_timeout=10.0
@@ -17,7 +21,7 @@
 
 
 class ReplicatedCluster(Cluster):
-    """A site whose hosts have a replicated log."""
+    """A cluster whose hosts run the replicated log."""
 
     def __init__(self, **options):
         super().__init__(hosts=3, tuning=_FLEET, **options)
@@ -27,7 +31,7 @@
 
     @property
     def leader(self) -> str:
-        """The host that leads, "" for none."""
+        """The host that leads, "" if none does."""
         for name, agreement in self.agreements.items():
             if agreement.is_leader:
                 return name
@@ -58,11 +62,11 @@
 async def test_leader_isolated_for_an_hour(autojump_clock):
     async with ReplicatedCluster.start() as cluster:
         await trio.sleep(120)
-        cluster.check_whole(3)
+        cluster.check_consistent(3)
         old = cluster.leader
         cluster.network.isolate(old)
         isolated_at = trio.current_time()
-        # It still reaches the cloud and the upstreams.
+        # The old leader still reaches the cloud and the upstreams.
         cluster.cloud.reclaim(10, zone="sapporo-hall")
         cluster.busy["zaseki-model"] = 150.0
         await trio.sleep(3600)
@@ -77,7 +81,7 @@
         cluster.network.heal()
         await trio.sleep(120)
         assert not [call for call in cluster.calls if call[1] == old and call[0] > 3700]
-        cluster.check_whole(count)
+        cluster.check_consistent(count)
         records = {name: fleet.machine for name, fleet in cluster.fleets.items()}
         snapshots = {machine.snapshot() for machine in records.values()}
         assert len(snapshots) == 1
@@ -95,6 +99,6 @@
             await cluster.start_host(name)
             await trio.sleep(60)
         await trio.sleep(120)
-        cluster.check_whole(len(cluster.cloud.living))
+        cluster.check_consistent(len(cluster.cloud.living))
         asked = cluster.cloud.asked
         assert {host.token for host in cluster.cloud.hosts} == set(asked)
