--- a/tests/fleet/cluster.py
+++ b/tests/fleet/cluster.py
@@ -217,7 +217,7 @@
         self._scopes[name].cancel()
 
     async def reach_kill_point(self, host: str, name: str) -> None:
-        """Count a fault point of the first leader; inject the fault at `fault_point`."""
+        """Count the first leader's fault points; inject a fault at `fault_point`."""
         if host != "control-0" or self.log.term != 2:
             return
         self.passed_points.append(name)
