--- a/src/pepperstep/fleet/orders.py
+++ b/src/pepperstep/fleet/orders.py
@@ -103,7 +103,7 @@
     async def _deliver(
         self, action: Action, upstream: Upstream, lacks_fencing: bool
     ) -> bool:
-        """Send one order, or confirm it if it was sent; return whether to go on."""
+        """Send or confirm one order; return whether the next one may be sent."""
         if lacks_fencing and not self._are_old_orders_expired(upstream):
             return False
         is_unconfirmed = action.state is ActionState.SENT
--- a/src/pepperstep/fleet/tuning.py
+++ b/src/pepperstep/fleet/tuning.py
@@ -60,6 +60,6 @@
 
     @property
     def old_order_expiry_seconds(self) -> float:
-        """Time after which no order of an earlier leader can arrive any more."""
+        """Time after which no order of an earlier leader can arrive."""
         lease = self.lease * (1 + 2 * self.clock_drift)
         return lease + self.order_ttl + self.max_order_delay
--- a/tests/fleet/day.py
+++ b/tests/fleet/day.py
@@ -143,9 +143,9 @@
         self._apply_event(PoolEvent(key, PoolEventKind.STARTED), now)
         self.hosts.append(DayHost(token, key, price, now + _START_SECONDS))
 
-    def _apply_event(self, mark: PoolEvent, now: float) -> None:
-        self._pools[mark.key] = self._pools.get(mark.key, PoolHistory()).with_event(
-            mark, now
+    def _apply_event(self, event: PoolEvent, now: float) -> None:
+        self._pools[event.key] = self._pools.get(event.key, PoolHistory()).with_event(
+            event, now
         )
 
     def _pool_views(self, now: float) -> list[PoolView]:
