--- a/tests/fleet/test_replicated_log.py
+++ b/tests/fleet/test_replicated_log.py
@@ -14,7 +14,9 @@
 from tests.fleet.cluster import QUICK, Cluster
 
 # Long intervals, so that an hour takes few messages.
-_LOG = Tuning(heartbeat=2.0, election=8.0, call_timeout=2.0, forward_timeout=6.0)
+_LOG = Tuning(
+    heartbeat_interval=2.0, election_timeout=8.0, call_timeout=2.0, forward_timeout=6.0
+)
 _FLEET = replace(
     QUICK, period=8.0, notice_period=8.0, lease=_LOG.lease, commit_timeout=10.0
 )
