--- a/src/pepperstep/routing/admission.py
+++ b/src/pepperstep/routing/admission.py
@@ -6,21 +6,21 @@
 from pepperstep.entities import Priority, Request
 from pepperstep.errors import Code, Failure
 from pepperstep.routing.pools import Pool
+from pepperstep.routing.service_levels import ServiceLevels
 from pepperstep.routing.settings import RoutingSettings
-from pepperstep.routing.terms import Terms
 from pepperstep.routing.work import pool_key
 
 __all__ = ["Admission", "Room", "check_served", "latest_start"]
 
-_NO_UPSTREAM_SECONDS = 1.0
-_LEAST_RETRY_SECONDS = 0.1
+_NO_UPSTREAM_RETRY_SECONDS = 1.0
+_MIN_RETRY_SECONDS = 0.1
 # An accepted request that hasn't asked for its place after this never will.
-_ADMITTED_SECONDS = 2.0
+_ADMITTED_TIMEOUT_SECONDS = 2.0
 _JITTER = 0.5
 # Part of the places that higher classes leave at least.
-_LEAST_SHARE = 0.05
+_MIN_REMAINING_SHARE = 0.05
 # Answers after which their length is taken as known.
-_KNOWN_ANSWERS = 8
+_MIN_ANSWER_SAMPLES = 8
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,9 +43,14 @@
 class Admission:
     """Decides on new requests by the work ahead of them and how it drains."""
 
-    def __init__(self, settings: RoutingSettings, terms: Terms, rng: random.Random):
+    def __init__(
+        self,
+        settings: RoutingSettings,
+        service_levels: ServiceLevels,
+        rng: random.Random,
+    ):
         self._settings = settings
-        self._terms = terms
+        self._service_levels = service_levels
         self._rng = rng
         # Requests let in that haven't asked for a place.
         self._admitted: dict[str, _Admitted] = {}
@@ -63,8 +68,8 @@
             each.request.workspace == request.workspace
             for each in self._admitted.values()
         )
-        if wait > 0.0 and waiting >= self._terms.max_queue:
-            raise self._full(request, wait / waiting)
+        if wait > 0.0 and waiting >= self._service_levels.max_queue:
+            raise self._queue_full(request, wait / waiting)
         if wait > 0.0 and self._settings.refuses_early:
             self._check_times(request, pool, wait, remaining)
         self._admitted[request.id] = _Admitted(request, now, wait)
@@ -76,7 +81,7 @@
             pool_key(each.request) == pool.key for each in self._admitted.values()
         )
 
-    def note_queued(self, request: Request) -> float:
+    def pop_predicted_wait(self, request: Request) -> float:
         """Return the wait predicted for a request, which asks for its place."""
         admitted = self._admitted.pop(request.id, None)
         return 0.0 if admitted is None else admitted.wait
@@ -89,15 +94,15 @@
         meanwhile.
         """
 
-        def hold_of(priority: Priority) -> float:
-            hold = pool.holds[priority]
-            if hold.count:
-                return hold.value
-            return pool.hold.value or request.max_tokens * pool.decode_seconds
+        def hold_time_of(priority: Priority) -> float:
+            hold_time = pool.hold_times[priority]
+            if hold_time.count:
+                return hold_time.value
+            return pool.hold_time.value or request.max_tokens * pool.decode_seconds
 
-        ahead = pool.queue.work_ahead(request, hold_of)
+        ahead = pool.queue.work_ahead(request, hold_time_of)
         above = sum(pool.class_in_flight[: request.priority])
-        left = max(pool.in_flight - above, _LEAST_SHARE * pool.in_flight, 1.0)
+        left = max(pool.in_flight - above, _MIN_REMAINING_SHARE * pool.in_flight, 1.0)
         return pool.wait_errors[request.priority].value * ahead / left
 
     def _check_times(
@@ -105,35 +110,35 @@
     ) -> None:
         first_token = wait + pool.first_token.value
         answer = request.max_tokens * pool.answer_shares[request.priority].value
-        late = first_token + answer * pool.decode_seconds - remaining
+        overrun = first_token + answer * pool.decode_seconds - remaining
         if request.priority is Priority.INTERACTIVE:
-            target = self._terms.targets_of(request).first_token
+            target = self._service_levels.targets_of(request).first_token
             allowed = target * self._settings.refusal_multiple
-            late = max(late, first_token - allowed)
-        if late > 0:
+            overrun = max(overrun, first_token - allowed)
+        if overrun > 0:
             raise Failure(
                 Code.OVERLOADED,
                 f"The first token would take {first_token:.2f} s.",
-                retry_after=self._return_after(min(late, wait)),
+                retry_after=self._jittered_retry_after(min(overrun, wait)),
             )
 
     def _prune(self, now: float) -> None:
         for request_id, admitted in list(self._admitted.items()):
-            if now - admitted.at <= _ADMITTED_SECONDS:
+            if now - admitted.at <= _ADMITTED_TIMEOUT_SECONDS:
                 return
             del self._admitted[request_id]
 
-    def _full(self, request: Request, seconds_each: float) -> Failure:
+    def _queue_full(self, request: Request, seconds_each: float) -> Failure:
         return Failure(
             Code.QUEUE_FULL,
-            f"{self._terms.max_queue} requests of {request.workspace} wait.",
-            retry_after=self._return_after(seconds_each),
+            f"{self._service_levels.max_queue} requests of {request.workspace} wait.",
+            retry_after=self._jittered_retry_after(seconds_each),
         )
 
-    def _return_after(self, seconds: float) -> float:
+    def _jittered_retry_after(self, seconds: float) -> float:
         """Return a time to come back, spread so that not all come at once."""
         jitter = 1 + _JITTER * self._rng.random()
-        return max(_LEAST_RETRY_SECONDS, seconds) * jitter
+        return max(_MIN_RETRY_SECONDS, seconds) * jitter
 
 
 def check_served(request: Request, pool: Pool) -> None:
@@ -142,7 +147,7 @@
         raise Failure(
             Code.NO_UPSTREAM,
             f"No upstream serves {request.target} now.",
-            retry_after=_NO_UPSTREAM_SECONDS,
+            retry_after=_NO_UPSTREAM_RETRY_SECONDS,
         )
 
 
@@ -152,9 +157,9 @@
     Only lengths that answers have rarely fallen below are counted on.
     """
     shares = pool.answer_shares[request.priority]
-    if shares.count < _KNOWN_ANSWERS:
+    if shares.count < _MIN_ANSWER_SAMPLES:
         return request.deadline
     share = max(0.0, shares.value - 2 * shares.deviation)
-    sure_tokens = max(0.0, left_tokens - (1 - share) * request.max_tokens)
-    seconds = pool.first_token.value + sure_tokens * pool.decode_seconds
+    expected_tokens = max(0.0, left_tokens - (1 - share) * request.max_tokens)
+    seconds = pool.first_token.value + expected_tokens * pool.decode_seconds
     return request.deadline - seconds
--- a/src/pepperstep/routing/averages.py
+++ b/src/pepperstep/routing/averages.py
@@ -1,9 +1,9 @@
 """Small running figures: averages, fading averages and minima."""
 
-__all__ = ["Average", "Fading", "Minimum"]
+__all__ = ["MovingAverage", "DecayingAverage", "WindowedMinimum"]
 
 
-class Average:
+class MovingAverage:
     """Average that weighs the newest values most; plain for the first few."""
 
     __slots__ = ("count", "deviation", "value", "_weight")
@@ -25,45 +25,45 @@
             self.deviation += weight * (abs(difference) - self.deviation)
 
 
-class Fading:
+class DecayingAverage:
     """Average that falls to zero when no values come."""
 
-    __slots__ = ("_at", "_half_life", "_value", "_weight")
+    __slots__ = ("_updated_at", "_half_life", "_value", "_weight")
 
     def __init__(self, half_life: float, weight: float = 0.2):
         self._half_life = half_life
         self._weight = weight
         self._value = 0.0
-        self._at = 0.0
+        self._updated_at = 0.0
 
     def add(self, value: float, now: float) -> None:
         """Take a value in."""
         self._value = self.at(now) * (1 - self._weight) + value * self._weight
-        self._at = now
+        self._updated_at = now
 
     def at(self, now: float) -> float:
         """Return the average at a time."""
         if self._value == 0.0:
             return 0.0
-        return self._value * 0.5 ** ((now - self._at) / self._half_life)
+        return self._value * 0.5 ** ((now - self._updated_at) / self._half_life)
 
 
-class Minimum:
+class WindowedMinimum:
     """Least value of the last one to two windows."""
 
-    __slots__ = ("_current", "_last", "_started_at", "_window")
+    __slots__ = ("_current", "_previous", "_started_at", "_window")
 
     def __init__(self, window: float):
         self._window = window
         self._started_at = 0.0
-        self._last = float("inf")
+        self._previous = float("inf")
         self._current = float("inf")
 
     def add(self, value: float, now: float) -> float:
         """Take a value in and return the least one."""
         if now - self._started_at > self._window:
-            self._last = self._current
+            self._previous = self._current
             self._current = float("inf")
             self._started_at = now
         self._current = min(self._current, value)
-        return min(self._last, self._current)
+        return min(self._previous, self._current)
--- a/src/pepperstep/routing/breakers.py
+++ b/src/pepperstep/routing/breakers.py
@@ -29,7 +29,7 @@
         self.failures = 0
         # Requests in flight that test a recovering upstream.
         self.probes = 0
-        self._wait = settings.ejection_base
+        self._backoff = settings.ejection_base
         self._return_at = 0.0
         self._healthy_since = 0.0
 
@@ -42,16 +42,16 @@
     def eject(self, now: float) -> None:
         """Eject for a time that doubles with each ejection that follows soon."""
         is_healthy = self.state is BreakerState.HEALTHY
-        if is_healthy and now - self._healthy_since > 2 * self._wait:
-            self._wait = self.settings.ejection_base
+        if is_healthy and now - self._healthy_since > 2 * self._backoff:
+            self._backoff = self.settings.ejection_base
         self.state = BreakerState.EJECTED
         self.ejected_at = now
         self.ejections += 1
-        self._return_at = now + self._wait
-        self._wait = min(2 * self._wait, self.settings.ejection_cap)
+        self._return_at = now + self._backoff
+        self._backoff = min(2 * self._backoff, self.settings.ejection_cap)
         self.failures = 0
 
-    def admit(self, now: float) -> None:
+    def restore(self, now: float) -> None:
         """End an ejection."""
         self.state = BreakerState.HEALTHY
         self._healthy_since = now
@@ -61,16 +61,16 @@
 BreakerPolicy = Callable[[Breaker, bool, float], None]
 
 
-def note_nothing(breaker: Breaker, is_good: bool, now: float) -> None:
+def never_eject(breaker: Breaker, is_success: bool, now: float) -> None:
     """Never eject."""
 
 
-def note_consecutive(breaker: Breaker, is_good: bool, now: float) -> None:
+def count_consecutive(breaker: Breaker, is_success: bool, now: float) -> None:
     """Eject after some failures in a row; one success ends it."""
-    if is_good:
+    if is_success:
         breaker.failures = 0
         if breaker.state is BreakerState.RECOVERING:
-            breaker.admit(now)
+            breaker.restore(now)
         return
     breaker.failures += 1
     if breaker.state is BreakerState.RECOVERING:
@@ -82,22 +82,24 @@
 
 
 BREAKERS: dict[str, BreakerPolicy] = {
-    "none": note_nothing,
-    "consecutive": note_consecutive,
+    "none": never_eject,
+    "consecutive": count_consecutive,
 }
 
 
 def limit_ejected(
-    breakers: Sequence[Breaker], now: float, largest_share: float
+    breakers: Sequence[Breaker], now: float, max_ejected_share: float
 ) -> set[Breaker]:
     """Return the breakers whose upstreams get nothing, or only probes.
 
     Those ejected last count as healthy where more than the share are, so at
     least one of several can be ejected and never all.
     """
-    bad = [each for each in breakers if each.refresh(now) is not BreakerState.HEALTHY]
-    largest = min(max(1, int(largest_share * len(breakers))), len(breakers) - 1)
-    if len(bad) > largest:
-        bad.sort(key=lambda breaker: breaker.ejected_at)
-        del bad[largest:]
-    return set(bad)
+    unhealthy = [
+        each for each in breakers if each.refresh(now) is not BreakerState.HEALTHY
+    ]
+    max_ejected = min(max(1, int(max_ejected_share * len(breakers))), len(breakers) - 1)
+    if len(unhealthy) > max_ejected:
+        unhealthy.sort(key=lambda breaker: breaker.ejected_at)
+        del unhealthy[max_ejected:]
+    return set(unhealthy)
--- a/src/pepperstep/routing/candidates.py
+++ b/src/pepperstep/routing/candidates.py
@@ -8,7 +8,7 @@
 __all__ = ["Candidates"]
 
 # Draws for each one wanted before all are looked at.
-_TRIES = 3
+_DRAWS_PER_CANDIDATE = 3
 
 
 class Candidates:
@@ -33,10 +33,10 @@
     def draw(self, number: int, rng: Random) -> list[TrackedUpstream]:
         """Return up to `number` different ones, drawn at random."""
         members = self._members
-        if len(members) <= _TRIES * number:
+        if len(members) <= _DRAWS_PER_CANDIDATE * number:
             return self._draw_from_all(number, rng)
         drawn: list[TrackedUpstream] = []
-        for _ in range(_TRIES * number):
+        for _ in range(_DRAWS_PER_CANDIDATE * number):
             member = members[int(rng.random() * len(members))]
             if member not in drawn and self._is_usable(member):
                 drawn.append(member)
--- a/src/pepperstep/routing/dispatch.py
+++ b/src/pepperstep/routing/dispatch.py
@@ -15,8 +15,8 @@
 from pepperstep.routing.pools import Pool, Pools
 from pepperstep.routing.prediction import CHOICES, Choice, ChoiceContext
 from pepperstep.routing.queue import Waiter
+from pepperstep.routing.service_levels import ServiceLevels
 from pepperstep.routing.settings import RoutingSettings
-from pepperstep.routing.terms import Terms
 from pepperstep.routing.tracked import TrackedUpstream
 
 __all__ = ["Dispatcher"]
@@ -29,24 +29,24 @@
         self,
         pools: Pools,
         timers: Timers,
-        terms: Terms,
+        service_levels: ServiceLevels,
         context: ChoiceContext,
         feedback: Feedback,
-        note_placed: Callable[[Placement, Choice], None],
-        note_released: Callable[[Placement], None],
+        on_placed: Callable[[Placement, Choice], None],
+        on_released: Callable[[Placement], None],
     ):
         self._pools = pools
         self._timers = timers
-        self._terms = terms
+        self._service_levels = service_levels
         self._context = context
         self._settings: RoutingSettings = context.settings
         self._choose = CHOICES[self._settings.choice]
         self._feedback = feedback
-        self._note_placed = note_placed
-        self._note_released = note_released
+        self._on_placed = on_placed
+        self._on_released = on_released
         self._host_limit = AdaptiveLimit.from_host(self._settings)
         self._in_flight: Counter[str] = Counter()
-        self._total = 0
+        self._in_flight_total = 0
         self._waiting: Counter[str] = Counter()
         # The one of the waiting that looks for changes each period.
         self._poller: Waiter | None = None
@@ -54,20 +54,20 @@
     @property
     def in_flight(self) -> int:
         """Attempts in flight at this host."""
-        return self._total
+        return self._in_flight_total
 
     @property
     def host_limit(self) -> float:
         """Attempts that may be in flight at this host."""
         return self._host_limit.value
 
-    def note_host_delay(self, delay: float, now: float) -> None:
+    def record_timer_delay(self, delay: float, now: float) -> None:
         """Adapt the host's limit to how late its timers are, in seconds."""
         is_limited = self.in_flight >= 0.8 * self._host_limit.value
         sample = LatencySample(delay, 0.0, self._settings.host_delay, is_limited)
-        self._host_limit.note(sample, 1.0, now)
+        self._host_limit.update(sample, 1.0, now)
 
-    def room_for(self, request: Request, pool: Pool, wanted: int, now: float) -> Room:
+    def check_room(self, request: Request, pool: Pool, wanted: int, now: float) -> Room:
         """Return whether `wanted` new requests like this one could start now."""
         waiting = self._waiting[request.workspace]
         is_first = pool.queue.is_empty_for(request)
@@ -86,8 +86,8 @@
         """Return the waiter's placement; raise its failure if it gets none."""
         self._add(waiter, pool)
         try:
-            while not waiter.is_over:
-                await self._wait_change(waiter)
+            while not waiter.is_settled:
+                await self._wait_for_change(waiter)
         except BaseException:
             self._abandon(waiter, pool)
             raise
@@ -100,7 +100,7 @@
         now = self._timers.now()
         for pool in self._pools:
             if len(pool.queue):
-                self._answer_late(pool)
+                self._fail_expired(pool)
                 self._start(pool, now)
 
     def _add(self, waiter: Waiter, pool: Pool) -> None:
@@ -108,7 +108,7 @@
         self._waiting[waiter.work.request.workspace] += 1
         self._start(pool, self._timers.now())
 
-    async def _wait_change(self, waiter: Waiter) -> None:
+    async def _wait_for_change(self, waiter: Waiter) -> None:
         if self._poller is None:
             self._poller = waiter
         if self._poller is not waiter:
@@ -118,15 +118,15 @@
             with self._timers.move_on_after(self._settings.poll_period):
                 await waiter.changed.wait()
         finally:
-            if waiter.is_over:
-                self._pass_polling_on()
-        if not waiter.is_over:
+            if waiter.is_settled:
+                self._hand_over_polling()
+        if not waiter.is_settled:
             self._pools.sync(self._timers.now())
             self.start_waiters()
-            if waiter.is_over:
-                self._pass_polling_on()
+            if waiter.is_settled:
+                self._hand_over_polling()
 
-    def _pass_polling_on(self) -> None:
+    def _hand_over_polling(self) -> None:
         """Let another of the waiting look for changes."""
         self._poller = None
         for pool in self._pools:
@@ -141,13 +141,13 @@
             pool.queue.remove(waiter)
             self._waiting[waiter.work.request.workspace] -= 1
         if self._poller is waiter:
-            self._pass_polling_on()
+            self._hand_over_polling()
 
-    def _answer_late(self, pool: Pool) -> None:
+    def _fail_expired(self, pool: Pool) -> None:
         now = self._timers.now()
-        for waiter in pool.queue.take_late(self._timers.wall()):
+        for waiter in pool.queue.pop_expired(self._timers.wall()):
             request = waiter.work.request
-            pool.note_wait(waiter, now)
+            pool.record_wait(waiter, now)
             self._waiting[request.workspace] -= 1
             waiter.failure = Failure(
                 Code.DEADLINE_EXPIRED,
@@ -159,7 +159,7 @@
     def _start(self, pool: Pool, now: float) -> None:
         while (
             len(pool.queue)
-            and self._total < self._host_limit.value
+            and self._in_flight_total < self._host_limit.value
             and self._start_one(pool, now)
         ):
             pass
@@ -167,27 +167,29 @@
     def _start_one(self, pool: Pool, now: float) -> bool:
         ejected = self._ejected(pool, now)
         # Classes for which there is no place whatever the upstream.
-        full: set[Priority] = set()
+        full_classes: set[Priority] = set()
         for waiter in pool.queue.heads():
             request = waiter.work.request
-            if request.priority in full or not self._is_below_limits(request):
+            if request.priority in full_classes or not self._is_below_limits(request):
                 continue
             choice = self._choose_for(waiter, pool, ejected, now)
             if choice is not None:
                 self._place(waiter, pool, choice)
                 return True
             if not waiter.excluded:
-                full.add(request.priority)
+                full_classes.add(request.priority)
         return False
 
     def _is_below_limits(self, request: Request) -> bool:
         workspace = request.workspace
         if self.in_flight >= self._host_limit.value:
             return False
-        return self._in_flight[workspace] < self._terms.max_in_flight_of(workspace)
+        return self._in_flight[workspace] < self._service_levels.max_in_flight_of(
+            workspace
+        )
 
     def _share_of(self, pool: Pool, request: Request, now: float) -> float:
-        if pool.queue.is_owed(request):
+        if pool.queue.has_credit(request):
             return max(self._settings.class_shares)
         return pool.share_of(request.priority, now, self._settings)
 
@@ -233,21 +235,21 @@
                 pool.members, pool.by_name, lambda each: each.has_room(share)
             )
         members = [each for each in pool.members if each.breaker not in ejected]
-        fresh = [each for each in members if each.upstream.name not in excluded]
-        members = fresh or members
+        not_excluded = [each for each in members if each.upstream.name not in excluded]
+        members = not_excluded or members
         by_name = {each.upstream.name: each for each in members}
         return Candidates(members, by_name, lambda each: each.has_room(share))
 
     def _place(self, waiter: Waiter, pool: Pool, choice: Choice) -> None:
         pool.queue.pop(waiter)
-        pool.note_wait(waiter, self._timers.now())
+        pool.record_wait(waiter, self._timers.now())
         tracked = choice.chosen
         placement = Placement(
             tracked, pool, waiter, self._feedback, self._timers, self._release
         )
         request = waiter.work.request
-        self._note_placed(placement, choice)
-        tracked.note_started(round(placement.uncached_tokens), placement.started_at)
+        self._on_placed(placement, choice)
+        tracked.record_start(round(placement.uncached_tokens), placement.started_at)
         if tracked.breaker.state is BreakerState.RECOVERING:
             tracked.breaker.probes += 1
             placement.is_probe = True
@@ -255,7 +257,7 @@
         pool.class_in_flight[request.priority] += 1
         self._waiting[request.workspace] -= 1
         self._in_flight[request.workspace] += 1
-        self._total += 1
+        self._in_flight_total += 1
         waiter.result = placement
         waiter.wake()
 
@@ -267,10 +269,10 @@
         placement.pool.in_flight -= 1
         placement.pool.class_in_flight[waiter.work.request.priority] -= 1
         self._in_flight[workspace] -= 1
-        self._total -= 1
+        self._in_flight_total -= 1
         if not self._in_flight[workspace]:
             del self._in_flight[workspace]
         held = now - placement.started_at
-        placement.pool.queue.correct(waiter, held - waiter.cost)
-        self._note_released(placement)
+        placement.pool.queue.adjust_charge(waiter, held - waiter.cost)
+        self._on_released(placement)
         self.start_waiters()
--- a/src/pepperstep/routing/explanations.py
+++ b/src/pepperstep/routing/explanations.py
@@ -30,14 +30,14 @@
 
     def __init__(self, size: int):
         self._size = size
-        self._all: OrderedDict[str, list[Explanation]] = OrderedDict()
+        self._by_request: OrderedDict[str, list[Explanation]] = OrderedDict()
 
     def add(self, explanation: Explanation) -> None:
         """Keep one, and drop the oldest request's if there are too many."""
-        self._all.setdefault(explanation.request_id, []).append(explanation)
-        if len(self._all) > self._size:
-            self._all.popitem(last=False)
+        self._by_request.setdefault(explanation.request_id, []).append(explanation)
+        if len(self._by_request) > self._size:
+            self._by_request.popitem(last=False)
 
     def find(self, request_id: str) -> list[Explanation]:
         """Return a request's placements in their order."""
-        return list(self._all.get(request_id, ()))
+        return list(self._by_request.get(request_id, ()))
--- a/src/pepperstep/routing/feedback.py
+++ b/src/pepperstep/routing/feedback.py
@@ -14,11 +14,11 @@
 __all__ = ["Feedback"]
 
 # Part of a limit from which on more would be of use.
-_NEARLY = 0.8
+_NEAR_LIMIT_SHARE = 0.8
 # Part of the first token's target that may go to queueing at the upstream.
-_TARGET_PART = 0.5
+_QUEUEING_TARGET_SHARE = 0.5
 # A time between tokens above the least one by this may be the batch's size.
-_GAP_MARGIN = 1.1
+_GAP_TOLERANCE = 1.1
 
 
 class Feedback:
@@ -26,10 +26,10 @@
 
     def __init__(self, settings: RoutingSettings, prefixes: PrefixIndex):
         self._settings = settings
-        self._note_breaker = BREAKERS[settings.breaker]
+        self._record_result = BREAKERS[settings.breaker]
         self._prefixes = prefixes
 
-    def note_first_token(self, placement: "Placement", now: float) -> None:
+    def record_first_token(self, placement: "Placement", now: float) -> None:
         """Note the time to an attempt's first token."""
         tracked = placement.tracked
         load = placement.upstream.load
@@ -37,28 +37,30 @@
         unloaded = placement.uncached_tokens * load.prefill_seconds
         unloaded += load.decode_seconds
         overhead = max(0.0, measured - unloaded)
-        tracked.note_alive(placement.started_at, now)
+        tracked.record_liveness(placement.started_at, now)
         tracked.overhead.add(overhead)
         placement.pool.first_token.add(measured)
         if placement.predicted is not None:
             excess = measured - placement.predicted - load.decode_seconds
             tracked.excess.add(max(0.0, excess), now)
         expected = unloaded + tracked.least_overhead.add(overhead, now)
-        slack = _TARGET_PART * placement.targets.first_token
-        self._adapt(placement, measured, expected, slack, now)
+        slack = _QUEUEING_TARGET_SHARE * placement.targets.first_token
+        self._adapt_limit(placement, measured, expected, slack, now)
         typical, _ = placement.pool.typical(now)
-        self._judge(placement, overhead, typical, self._settings.slow_seconds, now)
+        self._compare_with_pool(
+            placement, overhead, typical, self._settings.slow_seconds, now
+        )
 
-    def note_gap(self, placement: "Placement", gap: float, now: float) -> None:
+    def record_gap(self, placement: "Placement", gap: float, now: float) -> None:
         """Note the time between tokens over some of them."""
         tracked = placement.tracked
         tracked.gap.add(gap)
-        least = tracked.least_gap.add(gap, now) * _GAP_MARGIN
+        minimum = tracked.least_gap.add(gap, now) * _GAP_TOLERANCE
         target = placement.targets.between_tokens
-        expected = max(target, least) / self._settings.limit_tolerance
-        self._adapt(placement, gap, expected, 0.0, now)
+        expected = max(target, minimum) / self._settings.limit_tolerance
+        self._adapt_limit(placement, gap, expected, 0.0, now)
         _, typical = placement.pool.typical(now)
-        self._judge(placement, gap, typical, target, now)
+        self._compare_with_pool(placement, gap, typical, target, now)
 
     def note_answered(
         self, placement: "Placement", mark: EndMark | None, now: float
@@ -66,35 +68,35 @@
         """Note a whole answer; `mark` is None for a plain service's."""
         tracked = placement.tracked
         held = now - placement.started_at
-        tracked.note_alive(placement.started_at, now)
+        tracked.record_liveness(placement.started_at, now)
         tracked.failures.add(0.0, now)
-        tracked.hold.add(held)
+        tracked.hold_time.add(held)
         request = placement.waiter.work.request
-        placement.pool.hold.add(held)
-        placement.pool.holds[request.priority].add(held)
+        placement.pool.hold_time.add(held)
+        placement.pool.hold_times[request.priority].add(held)
         if mark is None:
             placement.pool.first_token.add(held)
         else:
-            self._note_counts(placement, mark)
+            self._record_token_counts(placement, mark)
         if not placement.is_slow:
-            self._note_breaker(tracked.breaker, True, now)
+            self._record_result(tracked.breaker, True, now)
 
     def note_refused(self, placement: "Placement", is_busy: bool, now: float) -> None:
         """Note a refusal, which is no fault if the upstream is only busy."""
         if not is_busy:
             self.note_lost(placement, now)
             return
-        placement.tracked.note_alive(placement.started_at, now)
-        self._adapt(placement, 1.0, 0.0, 0.0, now)
+        placement.tracked.record_liveness(placement.started_at, now)
+        self._adapt_limit(placement, 1.0, 0.0, 0.0, now)
 
     def note_lost(self, placement: "Placement", now: float) -> None:
         """Note an attempt that failed."""
         tracked = placement.tracked
-        tracked.note_failed(now)
+        tracked.record_failure(now)
         tracked.failures.add(1.0, now)
-        self._note_breaker(tracked.breaker, False, now)
+        self._record_result(tracked.breaker, False, now)
 
-    def _adapt(
+    def _adapt_limit(
         self,
         placement: "Placement",
         measured: float,
@@ -103,26 +105,26 @@
         now: float,
     ) -> None:
         tracked = placement.tracked
-        is_limited = tracked.total >= _NEARLY * tracked.limit.value
+        is_limited = tracked.total >= _NEAR_LIMIT_SHARE * tracked.limit.value
         sample = LatencySample(measured, expected, slack, is_limited)
-        tracked.limit.note(sample, self._settings.limit_tolerance, now)
+        tracked.limit.update(sample, self._settings.limit_tolerance, now)
 
-    def _judge(
+    def _compare_with_pool(
         self,
         placement: "Placement",
         measured: float,
         typical: float,
-        least: float,
+        minimum: float,
         now: float,
     ) -> None:
         """Count an attempt as failed that is slow next to the other upstreams."""
-        if placement.is_slow or typical == 0.0 and least == 0.0:
+        if placement.is_slow or typical == 0.0 and minimum == 0.0:
             return
-        if measured > max(least, self._settings.slow_factor * typical):
+        if measured > max(minimum, self._settings.slow_factor * typical):
             placement.is_slow = True
-            self._note_breaker(placement.tracked.breaker, False, now)
+            self._record_result(placement.tracked.breaker, False, now)
 
-    def _note_counts(self, placement: "Placement", mark: EndMark) -> None:
+    def _record_token_counts(self, placement: "Placement", mark: EndMark) -> None:
         work = placement.waiter.work
         request = work.request
         if request.max_tokens:
@@ -136,4 +138,4 @@
         if counted and work.block_tokens:
             found = mark.cached_tokens / work.block_tokens
             name = placement.upstream.name
-            self._prefixes.note_found(name, placement.expected_blocks, found)
+            self._prefixes.record_hits(name, placement.expected_blocks, found)
--- a/src/pepperstep/routing/limits.py
+++ b/src/pepperstep/routing/limits.py
@@ -7,7 +7,7 @@
 
 __all__ = ["LIMITS", "AdaptiveLimit", "LatencySample", "LimitPolicy"]
 
-_DECREASE = 0.9
+_DECREASE_FACTOR = 0.9
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,7 +33,7 @@
 def adapt_aimd(limit: float, sample: LatencySample, tolerance: float) -> float:
     """Return one more a round, or a tenth less where the latency is high."""
     if sample.measured > sample.expected * tolerance + sample.slack:
-        return limit * _DECREASE
+        return limit * _DECREASE_FACTOR
     return limit + 1 / limit if sample.is_limited else limit
 
 
@@ -46,37 +46,44 @@
 class AdaptiveLimit:
     """A limit between two bounds, lowered at most once a period."""
 
-    __slots__ = ("_largest", "_least", "_lowered_at", "_period", "_policy", "value")
+    __slots__ = (
+        "_maximum",
+        "_minimum",
+        "_decreased_at",
+        "_decrease_period",
+        "_policy",
+        "value",
+    )
 
     def __init__(
-        self, policy: LimitPolicy, least: float, largest: float, period: float
+        self, policy: LimitPolicy, minimum: float, maximum: float, period: float
     ):
-        self.value = largest
+        self.value = maximum
         self._policy = policy
-        self._least = least
-        self._largest = largest
-        self._period = period
-        self._lowered_at = float("-inf")
+        self._minimum = minimum
+        self._maximum = maximum
+        self._decrease_period = period
+        self._decreased_at = float("-inf")
 
     @classmethod
     def from_slots(cls, slots: int, settings: RoutingSettings) -> "AdaptiveLimit":
         """Return an upstream's limit, which starts at its slots."""
-        least = max(1.0, settings.min_limit_share * slots)
-        return cls(LIMITS[settings.limit], least, slots, settings.limit_period)
+        minimum = max(1.0, settings.min_limit_share * slots)
+        return cls(LIMITS[settings.limit], minimum, slots, settings.limit_period)
 
     @classmethod
     def from_host(cls, settings: RoutingSettings) -> "AdaptiveLimit":
         """Return this host's limit."""
-        largest = settings.max_host_in_flight
-        least = min(settings.min_host_in_flight, largest)
-        return cls(LIMITS[settings.host_limit], least, largest, settings.limit_period)
+        maximum = settings.max_host_in_flight
+        minimum = min(settings.min_host_in_flight, maximum)
+        return cls(LIMITS[settings.host_limit], minimum, maximum, settings.limit_period)
 
-    def note(self, sample: LatencySample, tolerance: float, now: float) -> None:
+    def update(self, sample: LatencySample, tolerance: float, now: float) -> None:
         """Adapt to a sample; those of attempts begun before a cut are kept out."""
         value = self._policy(self.value, sample, tolerance)
-        value = max(self._least, min(self._largest, value))
+        value = max(self._minimum, min(self._maximum, value))
         if value < self.value:
-            if now - self._lowered_at < self._period:
+            if now - self._decreased_at < self._decrease_period:
                 return
-            self._lowered_at = now
+            self._decreased_at = now
         self.value = value
--- a/src/pepperstep/routing/placement.py
+++ b/src/pepperstep/routing/placement.py
@@ -9,10 +9,10 @@
 from pepperstep.routing.feedback import Feedback
 from pepperstep.routing.pools import Pool
 from pepperstep.routing.queue import Waiter
-from pepperstep.routing.terms import Targets
+from pepperstep.routing.service_levels import Targets
 from pepperstep.routing.tracked import TrackedUpstream
 
-__all__ = ["Ending", "Placement"]
+__all__ = ["AttemptFailure", "Placement"]
 
 # Tokens over which the time between tokens is a mean.
 _GAP_TOKENS = 16
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ending:
+class AttemptFailure:
     """How an attempt failed, kept until the request's next one."""
 
     upstream: str
@@ -41,13 +41,13 @@
         waiter: Waiter,
         feedback: Feedback,
         timers: Timers,
-        release: Callable[["Placement"], None],
+        on_release: Callable[["Placement"], None],
     ):
         self.upstream: Upstream = tracked.upstream
         self.tracked = tracked
         self.pool = pool
         self.waiter = waiter
-        self.ending: Ending | None = None
+        self.failure: AttemptFailure | None = None
         self.started_at = timers.now()
         # Tokens that it was thought to prefill, and the whole prediction.
         self.uncached_tokens = float(waiter.work.tokens)
@@ -58,27 +58,27 @@
         self.is_probe = False
         self._feedback = feedback
         self._timers = timers
-        self._release = release
+        self._on_release = on_release
         self._tokens = 0
         self._last_token_at = self.started_at
         self._gap_started_at = self.started_at
         self._gap_tokens = 0
-        self._is_noted = False
+        self._is_recorded = False
 
     def __enter__(self) -> "Placement":
         return self
 
     def __exit__(self, error_type, error, traceback) -> None:
-        if not self._is_noted:
-            self._note_end_without_word(is_whole=error_type is None)
-        self._release(self)
+        if not self._is_recorded:
+            self._infer_outcome(is_whole=error_type is None)
+        self._on_release(self)
 
     def note_tokens(self, count: int) -> None:
         """Note that tokens arrived."""
         now = self._timers.now()
         if not self._tokens:
             self._end_prefill()
-            self._feedback.note_first_token(self, now)
+            self._feedback.record_first_token(self, now)
             self._gap_started_at = now
             self._gap_tokens = -count
         self._tokens += count
@@ -86,32 +86,34 @@
         self._last_token_at = now
         if self._gap_tokens >= _GAP_TOKENS:
             gap = (now - self._gap_started_at) / self._gap_tokens
-            self._feedback.note_gap(self, gap, now)
+            self._feedback.record_gap(self, gap, now)
             self._gap_started_at = now
             self._gap_tokens = 0
 
     def note_answered(self, mark: EndMark | None = None) -> None:
         """Note that the answer is whole."""
-        self._is_noted = True
+        self._is_recorded = True
         self._feedback.note_answered(self, mark, self._timers.now())
 
     def note_refused(self, retry_after: float | None) -> None:
         """Note that the upstream refused the attempt, which didn't run."""
-        self._is_noted = True
+        self._is_recorded = True
         is_busy = retry_after is not None
-        self.ending = Ending(self.upstream.name, self.upstream.epoch, True, is_busy)
+        self.failure = AttemptFailure(
+            self.upstream.name, self.upstream.epoch, True, is_busy
+        )
         self._feedback.note_refused(self, is_busy, self._timers.now())
 
     def note_lost(self) -> None:
         """Note that the connection broke or the answer was damaged."""
-        self._is_noted = True
-        self.ending = Ending(self.upstream.name, self.upstream.epoch)
+        self._is_recorded = True
+        self.failure = AttemptFailure(self.upstream.name, self.upstream.epoch)
         self._feedback.note_lost(self, self._timers.now())
 
     def give_back(self) -> None:
         """Give back a place that no attempt was started at."""
-        self._is_noted = True
-        self._release(self)
+        self._is_recorded = True
+        self._on_release(self)
 
     def end(self, now: float) -> None:
         """Take the attempt out of its upstream's counts."""
@@ -119,12 +121,12 @@
             self._end_prefill()
         if self.is_probe:
             self.tracked.breaker.probes -= 1
-        self.tracked.note_ended(now)
+        self.tracked.record_end(now)
 
     def _end_prefill(self) -> None:
         self.tracked.pending_tokens -= round(self.uncached_tokens)
 
-    def _note_end_without_word(self, is_whole: bool) -> None:
+    def _infer_outcome(self, is_whole: bool) -> None:
         """Tell an answered call of a service from a stalled or cancelled attempt."""
         now = self._timers.now()
         if is_whole:
--- a/src/pepperstep/routing/pools.py
+++ b/src/pepperstep/routing/pools.py
@@ -4,19 +4,19 @@
 from typing import Protocol
 
 from pepperstep.entities import Priority, Upstream
-from pepperstep.routing.averages import Average
+from pepperstep.routing.averages import MovingAverage
 from pepperstep.routing.queue import FairQueue, Waiter
+from pepperstep.routing.service_levels import ServiceLevels
 from pepperstep.routing.settings import RoutingSettings
-from pepperstep.routing.terms import Terms
 from pepperstep.routing.tracked import TrackedUpstream
 from pepperstep.routing.work import pool_keys
 
 __all__ = ["Pool", "Pools", "UpstreamView"]
 
-_TOKENS_PER_CHARACTER = 0.25
+_INITIAL_TOKENS_PER_CHARACTER = 0.25
 # Predicted waits from which on errors are learned, and the largest error.
-_LEAST_WAIT = 0.1
-_LARGEST_ERROR = 4.0
+_MIN_LEARNED_WAIT_SECONDS = 0.1
+_MAX_WAIT_ERROR = 4.0
 
 
 class UpstreamView(Protocol):
@@ -41,22 +41,24 @@
         self.in_flight = 0
         self.class_in_flight = [0 for _ in Priority]
         # Seconds that an attempt holds its place, by class, and for all.
-        self.holds = [Average() for _ in Priority]
-        self.hold = Average()
+        self.hold_times = [MovingAverage() for _ in Priority]
+        self.hold_time = MovingAverage()
         # Seconds from dispatch to the first token.
-        self.first_token = Average()
+        self.first_token = MovingAverage()
         # Tokens generated as a share of the most that were asked for, by class.
-        self.answer_shares = [Average(0.05, initial=0.5) for _ in Priority]
-        self.tokens_per_character = Average(0.05, initial=_TOKENS_PER_CHARACTER)
+        self.answer_shares = [MovingAverage(0.05, initial=0.5) for _ in Priority]
+        self.tokens_per_character = MovingAverage(
+            0.05, initial=_INITIAL_TOKENS_PER_CHARACTER
+        )
         # Waits as a multiple of what was predicted, by class.
-        self.wait_errors = [Average(0.002, initial=1.0) for _ in Priority]
+        self.wait_errors = [MovingAverage(0.002, initial=1.0) for _ in Priority]
         # When each class was last asked for.
-        self.asked_at = [float("-inf") for _ in Priority]
+        self.last_request_at = [float("-inf") for _ in Priority]
         self._typical = (float("-inf"), 0.0, 0.0)
 
     def share_of(self, priority: Priority, now: float, settings) -> float:
         """Return the share of places that a class may take now."""
-        above = max(self.asked_at[:priority], default=float("-inf"))
+        above = max(self.last_request_at[:priority], default=float("-inf"))
         is_above_used = now - above < settings.class_seconds
         share = settings.class_shares[priority]
         return share if is_above_used else max(1.0, share)
@@ -70,12 +72,12 @@
             self.prefill_seconds = min(load.prefill_seconds for load in loads)
             self.decode_seconds = min(load.decode_seconds for load in loads)
 
-    def note_wait(self, waiter: Waiter, now: float) -> None:
+    def record_wait(self, waiter: Waiter, now: float) -> None:
         """Learn from a wait that has ended how far the prediction was off."""
-        if waiter.predicted_wait > _LEAST_WAIT:
+        if waiter.predicted_wait > _MIN_LEARNED_WAIT_SECONDS:
             error = (now - waiter.queued_at) / waiter.predicted_wait
             errors = self.wait_errors[waiter.work.request.priority]
-            errors.add(min(_LARGEST_ERROR, error * errors.value))
+            errors.add(min(_MAX_WAIT_ERROR, error * errors.value))
 
     def typical(self, now: float) -> tuple[float, float]:
         """Return the lower quartiles of the members' overheads and gaps."""
@@ -94,13 +96,13 @@
         self,
         view: UpstreamView,
         settings: RoutingSettings,
-        terms: Terms,
+        service_levels: ServiceLevels,
         new_queue: Callable[[], FairQueue],
         forget: Callable[[str], None],
     ):
         self._view = view
         self._settings = settings
-        self._terms = terms
+        self._service_levels = service_levels
         self._new_queue = new_queue
         self._forget = forget
         self._pools: dict[Hashable, Pool] = {}
@@ -133,22 +135,22 @@
             return None
         return tracked
 
-    def sync(self, now: float, oldest: float | None = None) -> None:
+    def sync(self, now: float, max_age: float | None = None) -> None:
         """Bring all pools up to date, if they are older than some seconds."""
-        if oldest is None:
-            oldest = self._settings.view_period
-        if now - self._synced_at >= oldest:
+        if max_age is None:
+            max_age = self._settings.view_period
+        if now - self._synced_at >= max_age:
             self._synced_at = now
             self._track(self._view.candidates(), now)
 
     def _track(self, candidates: Iterable[Upstream], now: float) -> None:
         before = self._tracked
-        sharers = self._terms.sharers
+        peer_count = self._service_levels.peer_count
         self._tracked = {}
         members: dict[Hashable, list[TrackedUpstream]] = {}
         for upstream in candidates:
             tracked = self._update(before.get(upstream.name), upstream, now)
-            tracked.sharers = sharers
+            tracked.peer_count = peer_count
             self._tracked[upstream.name] = tracked
             for key in pool_keys(upstream):
                 members.setdefault(key, []).append(tracked)
@@ -171,6 +173,6 @@
         return tracked
 
 
-def _lower_quartile(averages: Iterable[Average]) -> float:
+def _lower_quartile(averages: Iterable[MovingAverage]) -> float:
     values = sorted(each.value for each in averages if each.count)
     return values[len(values) // 4] if values else 0.0
--- a/src/pepperstep/routing/prediction.py
+++ b/src/pepperstep/routing/prediction.py
@@ -11,13 +11,13 @@
 from pepperstep.routing.prefixes import PrefixIndex
 from pepperstep.routing.settings import RoutingSettings
 from pepperstep.routing.tracked import TrackedUpstream
-from pepperstep.routing.work import Work
+from pepperstep.routing.work import WorkEstimate
 
 __all__ = ["CHOICES", "Choice", "ChoiceContext", "Chooser", "Prediction"]
 
-_FIRST_HOLD = 1.0
+_DEFAULT_HOLD_SECONDS = 1.0
 # Upstreams that hold the prefix, besides the drawn ones.
-_HOLDERS = 2
+_MAX_HOLDERS = 2
 _total_of = attrgetter("total")
 
 
@@ -62,11 +62,11 @@
     turns: count = field(default_factory=count)
 
 
-Chooser = Callable[[Candidates, Work, ChoiceContext, float], Choice | None]
+Chooser = Callable[[Candidates, WorkEstimate, ChoiceContext, float], Choice | None]
 
 
 def choose_predicted(
-    candidates: Candidates, work: Work, context: ChoiceContext, now: float
+    candidates: Candidates, work: WorkEstimate, context: ChoiceContext, now: float
 ) -> Choice | None:
     """Choose the least predicted time among a few and the prefix's best.
 
@@ -79,7 +79,7 @@
     holders = context.prefixes.find_holders(work.hashes)
     if holders:
         held = sorted(candidates.find(holders), key=_total_of)
-        drawn += [each for each in held[:_HOLDERS] if each not in drawn]
+        drawn += [each for each in held[:_MAX_HOLDERS] if each not in drawn]
     predictions = [predict(tracked, work, context, now) for tracked in drawn]
     seconds = [prediction.seconds for prediction in predictions]
     best = drawn[seconds.index(min(seconds))]
@@ -87,7 +87,7 @@
 
 
 def choose_least_in_flight(
-    candidates: Candidates, work: Work, context: ChoiceContext, now: float
+    candidates: Candidates, work: WorkEstimate, context: ChoiceContext, now: float
 ) -> Choice | None:
     """Choose the upstream with the least in flight from this host."""
     usable = candidates.list_all()
@@ -97,7 +97,7 @@
 
 
 def choose_round_robin(
-    candidates: Candidates, work: Work, context: ChoiceContext, now: float
+    candidates: Candidates, work: WorkEstimate, context: ChoiceContext, now: float
 ) -> Choice | None:
     """Choose one upstream after the other."""
     usable = candidates.list_all()
@@ -107,7 +107,7 @@
 
 
 def choose_random(
-    candidates: Candidates, work: Work, context: ChoiceContext, now: float
+    candidates: Candidates, work: WorkEstimate, context: ChoiceContext, now: float
 ) -> Choice | None:
     """Choose any upstream."""
     drawn = candidates.draw(1, context.rng)
@@ -123,7 +123,7 @@
 
 
 def predict(
-    tracked: TrackedUpstream, work: Work, context: ChoiceContext, now: float
+    tracked: TrackedUpstream, work: WorkEstimate, context: ChoiceContext, now: float
 ) -> Prediction:
     """Return the predicted time to the first token on one upstream."""
     settings = context.settings
@@ -150,20 +150,22 @@
 
 
 def _predict_wait(
-    tracked: TrackedUpstream, work: Work, settings: RoutingSettings
+    tracked: TrackedUpstream, work: WorkEstimate, settings: RoutingSettings
 ) -> float:
     """Return the time until a place is free and the batch takes the request in."""
     load = tracked.upstream.load
     slots = max(1, tracked.upstream.slots)
     total = tracked.total
-    hold = tracked.hold.value if tracked.hold.count else _FIRST_HOLD
+    hold_time = (
+        tracked.hold_time.value if tracked.hold_time.count else _DEFAULT_HOLD_SECONDS
+    )
     if not work.is_engine_work:
-        return (total + 1) * hold / slots
+        return (total + 1) * hold_time / slots
     # The fuller the batch, the longer its present step and its prefills.
     wait = load.decode_seconds * total / slots
     wait += tracked.pending_tokens * load.prefill_seconds * settings.prefill_sharing
     if total >= slots:
-        wait += (total - slots + 1) * hold / slots
+        wait += (total - slots + 1) * hold_time / slots
     return wait
 
 
@@ -177,7 +179,10 @@
 
 
 def _role_penalty(
-    tracked: TrackedUpstream, work: Work, uncached: float, settings: RoutingSettings
+    tracked: TrackedUpstream,
+    work: WorkEstimate,
+    uncached: float,
+    settings: RoutingSettings,
 ) -> float:
     load = tracked.upstream.load
     prefill = uncached * load.prefill_seconds
--- a/src/pepperstep/routing/prefixes.py
+++ b/src/pepperstep/routing/prefixes.py
@@ -6,15 +6,15 @@
 
 import xxhash
 
-from pepperstep.routing.averages import Average
+from pepperstep.routing.averages import MovingAverage
 
 __all__ = ["BLOCK_BYTES", "CacheEvent", "PrefixIndex", "hash_blocks"]
 
 BLOCK_BYTES = 256
 
-_HOLDERS = 4
+_MAX_HOLDERS = 4
 # What remains of a belief after events were missed.
-_DOUBT = 0.5
+_MISSED_EVENTS_FACTOR = 0.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,10 +43,10 @@
     return hashes
 
 
-class _Beliefs:
+class _CacheEstimate:
     """Blocks of one upstream with the time of the last sign of each."""
 
-    __slots__ = ("blocks", "epoch", "gap_at", "sequence", "trust")
+    __slots__ = ("blocks", "epoch", "gap_at", "sequence", "hit_ratio")
 
     def __init__(self):
         self.blocks: OrderedDict[int, float] = OrderedDict()
@@ -55,7 +55,7 @@
         # Time at which missed events were noticed.
         self.gap_at = float("-inf")
         # Share of the expected blocks that were found.
-        self.trust = Average(0.1, 1.0)
+        self.hit_ratio = MovingAverage(0.1, 1.0)
 
 
 class PrefixIndex:
@@ -69,71 +69,73 @@
         self._half_life = half_life
         self._capacity = blocks_per_upstream
         self._event_lag = event_lag
-        self._beliefs: dict[str, _Beliefs] = {}
+        self._estimates: dict[str, _CacheEstimate] = {}
         # The last upstreams that took each block.
         self._holders: OrderedDict[int, list[str]] = OrderedDict()
 
     def cached_blocks(self, upstream: str, hashes: Sequence[int], now: float) -> float:
         """Return how many of the first blocks are expected to be cached."""
-        beliefs = self._beliefs.get(upstream)
-        if beliefs is None or not hashes:
+        estimate = self._estimates.get(upstream)
+        if estimate is None or not hashes:
             return 0.0
-        known = _count_known(beliefs.blocks, hashes)
+        known = _count_known(estimate.blocks, hashes)
         if known == 0:
             return 0.0
-        seen_at = beliefs.blocks[hashes[known - 1]]
-        doubt = _DOUBT if seen_at < beliefs.gap_at else 1.0
-        trust = beliefs.trust.value * doubt
-        return known * trust * 0.5 ** ((now - seen_at) / self._half_life)
+        seen_at = estimate.blocks[hashes[known - 1]]
+        factor = _MISSED_EVENTS_FACTOR if seen_at < estimate.gap_at else 1.0
+        hit_ratio = estimate.hit_ratio.value * factor
+        return known * hit_ratio * 0.5 ** ((now - seen_at) / self._half_life)
 
     def find_holders(self, hashes: Sequence[int]) -> list[str]:
         """Return the upstreams that last took the longest known prefix."""
         known = _count_known(self._holders, hashes)
         return self._holders[hashes[known - 1]] if known else []
 
-    def note_placed(self, upstream: str, hashes: Sequence[int], now: float) -> None:
+    def record_placement(
+        self, upstream: str, hashes: Sequence[int], now: float
+    ) -> None:
         """Believe in the blocks of a prompt that an upstream gets."""
         self._store(upstream, hashes, now)
 
-    def note_found(self, upstream: str, expected: float, found: float) -> None:
+    def record_hits(self, upstream: str, expected: float, found: float) -> None:
         """Trust beliefs about an upstream by how many blocks were found."""
         if expected >= 1:
-            beliefs = self._beliefs.setdefault(upstream, _Beliefs())
-            beliefs.trust.add(min(1.0, found / expected))
+            estimate = self._estimates.setdefault(upstream, _CacheEstimate())
+            estimate.hit_ratio.add(min(1.0, found / expected))
 
-    def note_event(self, event: CacheEvent, now: float) -> None:
+    def apply_event(self, event: CacheEvent, now: float) -> None:
         """Take an event in, which may be late and follow on missed ones."""
-        beliefs = self._beliefs.setdefault(event.upstream, _Beliefs())
-        if event.epoch < beliefs.epoch:
+        estimate = self._estimates.setdefault(event.upstream, _CacheEstimate())
+        if event.epoch < estimate.epoch:
             return
-        if event.epoch > beliefs.epoch:
-            self._begin_epoch(event, beliefs)
-        elif event.sequence > beliefs.sequence + 1:
-            beliefs.gap_at = now - self._event_lag
-        beliefs.sequence = max(beliefs.sequence, event.sequence)
+        if event.epoch > estimate.epoch:
+            self._start_epoch(event, estimate)
+        elif event.sequence > estimate.sequence + 1:
+            estimate.gap_at = now - self._event_lag
+        estimate.sequence = max(estimate.sequence, event.sequence)
         self._store(event.upstream, event.stored, now - self._event_lag)
         for digest in event.removed:
             # A newer placement has stored the block again.
-            if beliefs.blocks.get(digest, now) <= now - self._event_lag:
+            if estimate.blocks.get(digest, now) <= now - self._event_lag:
                 self._drop(event.upstream, digest)
 
     def forget(self, upstream: str) -> None:
         """Drop all beliefs about an upstream, as it ended or started again."""
-        beliefs = self._beliefs.pop(upstream, None)
-        for digest in () if beliefs is None else beliefs.blocks:
+        estimate = self._estimates.pop(upstream, None)
+        for digest in () if estimate is None else estimate.blocks:
             self._drop_holder(upstream, digest)
 
-    def _begin_epoch(self, event: CacheEvent, beliefs: _Beliefs) -> None:
-        if beliefs.epoch:
+    def _start_epoch(self, event: CacheEvent, estimate: _CacheEstimate) -> None:
+        if estimate.epoch:
             self.forget(event.upstream)
-            self._beliefs[event.upstream] = beliefs
-            beliefs.blocks.clear()
-        beliefs.epoch = event.epoch
-        beliefs.sequence = event.sequence
+            self._estimates[event.upstream] = estimate
+            estimate.blocks.clear()
+        estimate.epoch = event.epoch
+        estimate.sequence = event.sequence
 
     def _store(self, upstream: str, hashes: Sequence[int], seen_at: float) -> None:
-        beliefs = self._beliefs.setdefault(upstream, _Beliefs())
-        blocks = beliefs.blocks
+        estimate = self._estimates.setdefault(upstream, _CacheEstimate())
+        blocks = estimate.blocks
         for digest in reversed(hashes):
             if blocks.get(digest, seen_at) <= seen_at:
                 blocks[digest] = seen_at
@@ -151,10 +153,10 @@
         if upstream in holders:
             holders.remove(upstream)
         holders.insert(0, upstream)
-        del holders[_HOLDERS:]
+        del holders[_MAX_HOLDERS:]
 
     def _drop(self, upstream: str, digest: int) -> None:
-        self._beliefs[upstream].blocks.pop(digest, None)
+        self._estimates[upstream].blocks.pop(digest, None)
         self._drop_holder(upstream, digest)
 
     def _drop_holder(self, upstream: str, digest: int) -> None:
--- a/src/pepperstep/routing/queue.py
+++ b/src/pepperstep/routing/queue.py
@@ -10,7 +10,7 @@
 from pepperstep.entities import Priority, Request
 from pepperstep.errors import Execution, Failure
 from pepperstep.routing.retries import RetryCause
-from pepperstep.routing.work import Work
+from pepperstep.routing.work import WorkEstimate
 
 __all__ = ["ORDERS", "FairQueue", "Order", "Waiter"]
 
@@ -19,7 +19,7 @@
 class Waiter:
     """A request's attempt that waits; it ends with a placement or a failure."""
 
-    work: Work
+    work: WorkEstimate
     excluded: frozenset[str]
     # Seconds that it is expected to hold a place.
     cost: float
@@ -37,7 +37,7 @@
     changed: trio.Event = field(default_factory=trio.Event)
 
     @property
-    def is_over(self) -> bool:
+    def is_settled(self) -> bool:
         """Whether it needs to wait no longer."""
         return self.result is not None or self.failure is not None
 
@@ -66,21 +66,23 @@
 _CLASSES = tuple(Priority)
 
 
-class _Lane:
+class _ClassQueue:
     """Waiters of one class, by workspace, with a virtual clock."""
 
     def __init__(self):
         self.waiters: dict[str, deque[Waiter]] = {}
         # Virtual start of each workspace's next waiter.
-        self.starts: dict[str, float] = {}
-        self.clock = 0.0
+        self.virtual_starts: dict[str, float] = {}
+        self.virtual_time = 0.0
         # Starts that higher classes owe this one.
         self.credit = 0.0
 
     def push(self, workspace: str, waiter: Waiter) -> None:
         waiters = self.waiters.setdefault(workspace, deque())
         if not waiters:
-            self.starts[workspace] = max(self.starts.get(workspace, 0.0), self.clock)
+            self.virtual_starts[workspace] = max(
+                self.virtual_starts.get(workspace, 0.0), self.virtual_time
+            )
         # Later attempts have waited before.
         if waiter.attempt > 1:
             waiters.appendleft(waiter)
@@ -90,20 +92,20 @@
     def pop(self, workspace: str, charge: float) -> None:
         waiters = self.waiters[workspace]
         waiters.popleft()
-        start = self.starts[workspace]
-        self.clock = max(self.clock, start)
-        self.starts[workspace] = start + charge
+        start = self.virtual_starts[workspace]
+        self.virtual_time = max(self.virtual_time, start)
+        self.virtual_starts[workspace] = start + charge
         if not waiters:
             del self.waiters[workspace]
             self._prune()
 
     def _prune(self) -> None:
-        if len(self.starts) <= 2 * len(self.waiters) + 64:
+        if len(self.virtual_starts) <= 2 * len(self.waiters) + 64:
             return
-        self.starts = {
+        self.virtual_starts = {
             workspace: start
-            for workspace, start in self.starts.items()
-            if workspace in self.waiters or start > self.clock
+            for workspace, start in self.virtual_starts.items()
+            if workspace in self.waiters or start > self.virtual_time
         }
 
 
@@ -115,12 +117,12 @@
     """
 
     def __init__(
-        self, order: Order, weight_of: Callable[[str], float], lower_share: float
+        self, order: Order, weight_of: Callable[[str], float], lower_class_share: float
     ):
         self._order = order
         self._weight_of = weight_of
-        self._lower_share = lower_share
-        self._lanes = [_Lane() for _ in _CLASSES]
+        self._lower_class_share = lower_class_share
+        self._class_queues = [_ClassQueue() for _ in _CLASSES]
         self._size = 0
 
     def __len__(self) -> int:
@@ -129,96 +131,100 @@
     def is_empty_for(self, request: Request) -> bool:
         """Whether nothing waits that would start before the request."""
         priority, _ = self._order(request)
-        return not any(lane.waiters for lane in self._lanes[: priority + 1])
+        return not any(
+            class_queue.waiters for class_queue in self._class_queues[: priority + 1]
+        )
 
-    def is_owed(self, request: Request) -> bool:
+    def has_credit(self, request: Request) -> bool:
         """Whether the request's class is due a start before higher ones."""
-        return self._lanes[self._order(request)[0]].credit >= 1.0
+        return self._class_queues[self._order(request)[0]].credit >= 1.0
 
     def work_ahead(
-        self, request: Request, hold_of: Callable[[Priority], float]
+        self, request: Request, hold_time_of: Callable[[Priority], float]
     ) -> float:
         """Return the seconds of places held until the request would start."""
         priority, workspace = self._order(request)
-        above = sum(self._count(each) * hold_of(each) for each in _CLASSES[:priority])
-        lane = self._lanes[priority]
-        weights = sum(map(self._weight_of, {*lane.waiters, workspace}))
+        above = sum(
+            self._count(each) * hold_time_of(each) for each in _CLASSES[:priority]
+        )
+        class_queue = self._class_queues[priority]
+        weights = sum(map(self._weight_of, {*class_queue.waiters, workspace}))
         share = self._weight_of(workspace) / weights
-        own = len(lane.waiters.get(workspace, ())) + 1
+        own = len(class_queue.waiters.get(workspace, ())) + 1
         ahead = min(own / share, self._count(priority) + 1)
-        return above + ahead * hold_of(priority)
+        return above + ahead * hold_time_of(priority)
 
     def push(self, waiter: Waiter) -> None:
         """Add a waiter."""
         priority, workspace = self._order(waiter.work.request)
-        self._lanes[priority].push(workspace, waiter)
+        self._class_queues[priority].push(workspace, waiter)
         self._size += 1
 
     def remove(self, waiter: Waiter) -> None:
         """Remove a waiter that isn't to be started."""
         priority, workspace = self._order(waiter.work.request)
-        lane = self._lanes[priority]
-        waiters = lane.waiters.get(workspace, deque())
+        class_queue = self._class_queues[priority]
+        waiters = class_queue.waiters.get(workspace, deque())
         if waiter in waiters:
             waiters.remove(waiter)
             self._size -= 1
         if not waiters:
-            lane.waiters.pop(workspace, None)
+            class_queue.waiters.pop(workspace, None)
 
     def pop(self, waiter: Waiter) -> None:
         """Take out a waiter that `heads` has yielded, as it starts."""
         priority, workspace = self._order(waiter.work.request)
         weight = self._weight_of(workspace)
-        self._lanes[priority].pop(workspace, waiter.cost / weight)
+        self._class_queues[priority].pop(workspace, waiter.cost / weight)
         self._size -= 1
-        self._move_credit(priority)
+        self._update_credits(priority)
 
-    def correct(self, waiter: Waiter, seconds: float) -> None:
+    def adjust_charge(self, waiter: Waiter, seconds: float) -> None:
         """Charge a started waiter's workspace what it held beyond its cost."""
         priority, workspace = self._order(waiter.work.request)
-        starts = self._lanes[priority].starts
-        if workspace in starts:
-            starts[workspace] += seconds / self._weight_of(workspace)
+        virtual_starts = self._class_queues[priority].virtual_starts
+        if workspace in virtual_starts:
+            virtual_starts[workspace] += seconds / self._weight_of(workspace)
 
     def heads(self) -> Iterator[Waiter]:
         """Yield the first waiter of each workspace in the order to start them."""
         for priority in self._ordered_classes():
-            lane = self._lanes[priority]
-            workspaces = list(lane.waiters)
+            class_queue = self._class_queues[priority]
+            workspaces = list(class_queue.waiters)
             if len(workspaces) > 1:
-                workspaces.sort(key=lane.starts.__getitem__)
+                workspaces.sort(key=class_queue.virtual_starts.__getitem__)
             for workspace in workspaces:
-                yield lane.waiters[workspace][0]
+                yield class_queue.waiters[workspace][0]
 
-    def take_late(self, now: float) -> list[Waiter]:
+    def pop_expired(self, now: float) -> list[Waiter]:
         """Remove and return those whose latest start (Unix time) has passed."""
-        late = [
+        expired = [
             waiter
             for waiters in self._all_waiters()
             for waiter in waiters
             if waiter.latest_start < now
         ]
-        for waiter in late:
+        for waiter in expired:
             self.remove(waiter)
-        return late
+        return expired
 
     def _count(self, priority: Priority) -> int:
-        return sum(map(len, self._lanes[priority].waiters.values()))
+        return sum(map(len, self._class_queues[priority].waiters.values()))
 
     def _all_waiters(self) -> Iterator[deque[Waiter]]:
-        for lane in self._lanes:
-            yield from lane.waiters.values()
+        for class_queue in self._class_queues:
+            yield from class_queue.waiters.values()
 
     def _ordered_classes(self) -> list[Priority]:
-        waiting = [each for each in _CLASSES if self._lanes[each].waiters]
+        waiting = [each for each in _CLASSES if self._class_queues[each].waiters]
         if len(waiting) > 1:
-            waiting.sort(key=lambda priority: self._lanes[priority].credit < 1.0)
+            waiting.sort(key=lambda priority: self._class_queues[priority].credit < 1.0)
         return waiting
 
-    def _move_credit(self, started: Priority) -> None:
+    def _update_credits(self, started: Priority) -> None:
         """Pay for a start, and credit the classes below that wait."""
-        lane = self._lanes[started]
-        lane.credit = max(0.0, lane.credit - 1.0)
-        for below in self._lanes[started + 1 :]:
+        class_queue = self._class_queues[started]
+        class_queue.credit = max(0.0, class_queue.credit - 1.0)
+        for below in self._class_queues[started + 1 :]:
             if below.waiters:
-                below.credit = min(1.0, below.credit + self._lower_share)
+                below.credit = min(1.0, below.credit + self._lower_class_share)
--- a/src/pepperstep/routing/router.py
+++ b/src/pepperstep/routing/router.py
@@ -14,7 +14,7 @@
 from pepperstep.routing.dispatch import Dispatcher
 from pepperstep.routing.explanations import Explanation, Explanations
 from pepperstep.routing.feedback import Feedback
-from pepperstep.routing.placement import Ending, Placement
+from pepperstep.routing.placement import AttemptFailure, Placement
 from pepperstep.routing.pools import Pool, Pools, UpstreamView
 from pepperstep.routing.prediction import Choice, ChoiceContext, Prediction
 from pepperstep.routing.prefixes import (
@@ -24,17 +24,17 @@
     hash_blocks,
 )
 from pepperstep.routing.queue import ORDERS, FairQueue, Waiter
-from pepperstep.routing.retries import RetryBudget, RetryCause, draw_pause
+from pepperstep.routing.retries import RetryBudget, RetryCause, draw_backoff
+from pepperstep.routing.service_levels import ServiceLevels
 from pepperstep.routing.settings import RoutingSettings
 from pepperstep.routing.status import RoutingStatus, UpstreamStatus
-from pepperstep.routing.terms import Terms
-from pepperstep.routing.work import Work, pool_key
+from pepperstep.routing.work import WorkEstimate, pool_key
 
 __all__ = ["Router"]
 
-_DELAY_PERIOD = 0.1
-_BUDGET_PERIOD = 0.25
-_ENDINGS = 10_000
+_DELAY_SAMPLE_SECONDS = 0.1
+_BUDGET_POLL_SECONDS = 0.25
+_MAX_LAST_FAILURES = 10_000
 
 
 class Router:
@@ -57,26 +57,28 @@
         self._timers = timers
         self._rng = rng or random.Random(0)
         defaults = Configuration()
-        self._terms = Terms(configuration or (lambda: defaults), host_count)
+        self._service_levels = ServiceLevels(
+            configuration or (lambda: defaults), host_count
+        )
         self._prefixes = PrefixIndex(
             settings.belief_half_life, settings.cache_blocks, settings.event_lag
         )
-        self._admission = Admission(settings, self._terms, self._rng)
+        self._admission = Admission(settings, self._service_levels, self._rng)
         self._retries = RetryBudget(settings)
         self._explanations = Explanations(settings.explanations)
         # How the last attempt failed, of requests that may get another.
-        self._endings: OrderedDict[str, Ending] = OrderedDict()
+        self._last_failures: OrderedDict[str, AttemptFailure] = OrderedDict()
         self._pools = Pools(
-            view, settings, self._terms, self._new_queue, self._prefixes.forget
+            view, settings, self._service_levels, self._new_queue, self._prefixes.forget
         )
         self._dispatcher = Dispatcher(
             self._pools,
             timers,
-            self._terms,
+            self._service_levels,
             ChoiceContext(settings, self._rng, self._prefixes, zone, region),
             Feedback(settings, self._prefixes),
-            self._note_placed,
-            self._note_released,
+            self._record_placement,
+            self._record_failure,
         )
 
     @property
@@ -94,10 +96,10 @@
         """Adapt the host's limit until cancelled."""
         task_status.started()
         while True:
-            due = self._timers.now() + _DELAY_PERIOD
-            await self._timers.sleep(_DELAY_PERIOD)
+            due = self._timers.now() + _DELAY_SAMPLE_SECONDS
+            await self._timers.sleep(_DELAY_SAMPLE_SECONDS)
             now = self._timers.now()
-            self._dispatcher.note_host_delay(now - due, now)
+            self._dispatcher.record_timer_delay(now - due, now)
 
     def check(self, request: Request) -> None:
         """Let a request be accepted, or raise `Failure`; it has not run then.
@@ -108,9 +110,9 @@
         now = self._timers.now()
         pool = self._pools.get(pool_key(request), now)
         check_served(request, pool)
-        pool.asked_at[request.priority] = now
+        pool.last_request_at[request.priority] = now
         wanted = self._admission.count_admitted(pool, now) + 1
-        room = self._dispatcher.room_for(request, pool, wanted, now)
+        room = self._dispatcher.check_room(request, pool, wanted, now)
         remaining = request.deadline - self._timers.wall()
         self._admission.admit(request, pool, room, remaining, now)
 
@@ -135,17 +137,17 @@
         """
         if execution is None:
             execution = Execution.NOT_RUN if attempt == 1 else Execution.MAY_HAVE_RUN
-        predicted_wait = self._admission.note_queued(request)
+        predicted_wait = self._admission.pop_predicted_wait(request)
         if attempt == 1:
-            self._retries.note_first(
-                request.workspace, self._terms.retry_share, self._timers.now()
+            self._retries.record_first_attempt(
+                request.workspace, self._service_levels.retry_share, self._timers.now()
             )
         else:
-            cause = cause or self._find_cause(request)
-            await self._pause(request, attempt, cause, execution)
+            cause = cause or self._infer_retry_cause(request)
+            await self._wait_before_retry(request, attempt, cause, execution)
         now = self._timers.now()
         pool = self._pools.get(pool_key(request), now)
-        pool.asked_at[request.priority] = now
+        pool.last_request_at[request.priority] = now
         waiter = self._new_waiter(request, prefix_tokens, excluded, pool)
         waiter.predicted_wait = predicted_wait
         waiter.attempt = attempt
@@ -157,26 +159,26 @@
         """Return why the attempts of a request were placed where they were."""
         return self._explanations.find(request_id)
 
-    def note_cache_event(self, event: CacheEvent) -> None:
+    def apply_cache_event(self, event: CacheEvent) -> None:
         """Note what an engine says about its prefix cache."""
-        self._prefixes.note_event(event, self._timers.now())
+        self._prefixes.apply_event(event, self._timers.now())
 
     def _new_queue(self) -> FairQueue:
         order = ORDERS[self._settings.queue]
         share = self._settings.lower_class_share
-        return FairQueue(order, self._terms.weight_of, share)
+        return FairQueue(order, self._service_levels.weight_of, share)
 
     def _new_waiter(
         self, request: Request, prefix_tokens: int, excluded: frozenset[str], pool: Pool
     ) -> Waiter:
         left = max(0, request.max_tokens - prefix_tokens)
-        work = self._measure(request, prefix_tokens, left, pool)
+        work = self._estimate_work(request, prefix_tokens, left, pool)
         cost = (
             work.tokens * pool.prefill_seconds
             + work.answer_tokens * pool.decode_seconds
         )
         if not work.is_engine_work:
-            cost = pool.hold.value
+            cost = pool.hold_time.value
         return Waiter(
             work=work,
             excluded=excluded,
@@ -185,9 +187,9 @@
             queued_at=self._timers.now(),
         )
 
-    def _measure(
+    def _estimate_work(
         self, request: Request, prefix_tokens: int, left: int, pool: Pool
-    ) -> Work:
+    ) -> WorkEstimate:
         hashes = []
         if self._settings.choice == "predicted" and request.prompt:
             hashes = hash_blocks(request.prompt)
@@ -196,7 +198,7 @@
         block_tokens = 0.0
         if hashes:
             block_tokens = prompt_tokens * BLOCK_BYTES / len(request.prompt.encode())
-        return Work(
+        return WorkEstimate(
             request=request,
             tokens=prompt_tokens + prefix_tokens,
             prompt_tokens=prompt_tokens,
@@ -205,21 +207,21 @@
             block_tokens=block_tokens,
         )
 
-    def _find_cause(self, request: Request) -> RetryCause:
+    def _infer_retry_cause(self, request: Request) -> RetryCause:
         """Tell a loss of the upstream from a failure of one that lives."""
-        ending = self._endings.pop(request.id, None)
-        if ending is None:
+        failure = self._last_failures.pop(request.id, None)
+        if failure is None:
             return RetryCause.DIED
         now = self._timers.now()
         self._pools.sync(now, 0.0)
-        tracked = self._pools.find(ending.upstream, ending.epoch)
+        tracked = self._pools.find(failure.upstream, failure.epoch)
         if tracked is None or tracked.upstream.is_leaving:
             return RetryCause.RECLAIMED
-        if ending.is_busy or ending.is_refused and tracked.is_erring(now):
+        if failure.is_busy or failure.is_refused and tracked.is_failing(now):
             return RetryCause.REFUSED
-        return RetryCause.FAILED if tracked.is_erring(now) else RetryCause.DIED
+        return RetryCause.FAILED if tracked.is_failing(now) else RetryCause.DIED
 
-    async def _pay(self, request: Request, cause: RetryCause) -> bool:
+    async def _spend_retry(self, request: Request, cause: RetryCause) -> bool:
         """Pay for a retry; wait a bounded time for the budget to allow one.
 
         The request is accepted, and its caller may have a part of the answer,
@@ -228,19 +230,19 @@
         give_up_at = self._timers.now() + self._settings.retry_wait
         while True:
             now = self._timers.now()
-            if self._retries.take(request.workspace, now, cause.may_exceed):
+            if self._retries.spend(request.workspace, now, cause.may_overdraw):
                 return True
             is_late = self._timers.wall() >= request.deadline
-            if cause.may_exceed or now >= give_up_at or is_late:
+            if cause.may_overdraw or now >= give_up_at or is_late:
                 return False
-            await self._timers.sleep(_BUDGET_PERIOD * self._rng.uniform(0.5, 1.5))
+            await self._timers.sleep(_BUDGET_POLL_SECONDS * self._rng.uniform(0.5, 1.5))
 
-    async def _pause(
+    async def _wait_before_retry(
         self, request: Request, attempt: int, cause: RetryCause, execution: Execution
     ) -> None:
         """Pay for a retry, and wait before it."""
-        is_paid = await self._pay(request, cause)
-        if not is_paid and not cause.may_exceed:
+        is_granted = await self._spend_retry(request, cause)
+        if not is_granted and not cause.may_overdraw:
             raise Failure(
                 Code.RETRIES_EXHAUSTED,
                 f"Attempt {attempt - 1} was {cause}, and the retry budget is used up.",
@@ -248,26 +250,26 @@
                 retry_after=self._settings.retry_floor_period,
             )
         # The first move of a request whose upstream went is at once.
-        if is_paid and cause.may_exceed and attempt == 2:
+        if is_granted and cause.may_overdraw and attempt == 2:
             return
-        pause = draw_pause(attempt - 1, self._rng, self._settings)
-        if self._timers.wall() + pause >= request.deadline:
+        backoff = draw_backoff(attempt - 1, self._rng, self._settings)
+        if self._timers.wall() + backoff >= request.deadline:
             raise Failure(
                 Code.DEADLINE_EXPIRED,
                 "No time is left for another attempt.",
                 execution=execution,
             )
-        await self._timers.sleep(pause)
+        await self._timers.sleep(backoff)
 
-    def _note_placed(self, placement: Placement, choice: Choice) -> None:
+    def _record_placement(self, placement: Placement, choice: Choice) -> None:
         now = placement.started_at
         waiter = placement.waiter
         work = waiter.work
         for prediction in choice.considered:
             if prediction.upstream == placement.upstream.name:
-                self._note_prediction(placement, prediction)
-        placement.targets = self._terms.targets_of(work.request)
-        self._prefixes.note_placed(placement.upstream.name, work.hashes, now)
+                self._record_prediction(placement, prediction)
+        placement.targets = self._service_levels.targets_of(work.request)
+        self._prefixes.record_placement(placement.upstream.name, work.hashes, now)
         self._explanations.add(
             Explanation(
                 request_id=work.request.id,
@@ -282,7 +284,7 @@
             )
         )
 
-    def _note_prediction(self, placement: Placement, prediction: Prediction) -> None:
+    def _record_prediction(self, placement: Placement, prediction: Prediction) -> None:
         work = placement.waiter.work
         placement.uncached_tokens = work.tokens - prediction.cached_tokens
         placement.predicted = prediction.seconds - prediction.history
@@ -290,9 +292,9 @@
             blocks = prediction.cached_tokens / work.block_tokens
             placement.expected_blocks = blocks
 
-    def _note_released(self, placement: Placement) -> None:
-        if placement.ending is None:
+    def _record_failure(self, placement: Placement) -> None:
+        if placement.failure is None:
             return
-        self._endings[placement.waiter.work.request.id] = placement.ending
-        if len(self._endings) > _ENDINGS:
-            self._endings.popitem(last=False)
+        self._last_failures[placement.waiter.work.request.id] = placement.failure
+        if len(self._last_failures) > _MAX_LAST_FAILURES:
+            self._last_failures.popitem(last=False)
--- a/src/pepperstep/routing/terms.py
+++ b/src/pepperstep/routing/service_levels.py
@@ -7,11 +7,11 @@
 from pepperstep.configuration.schema import Workspace
 from pepperstep.entities import Request
 
-__all__ = ["Targets", "Terms"]
+__all__ = ["Targets", "ServiceLevels"]
 
 _FIRST_TOKEN_SECONDS = 0.54
 _BETWEEN_TOKENS_SECONDS = 0.053
-_MOST_SHARERS = 8
+_MAX_PEER_COUNT = 8
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,11 +22,11 @@
     between_tokens: float = _BETWEEN_TOKENS_SECONDS
 
 
-_ANY_TARGETS = Targets()
-_ANY_WORKSPACE = Workspace()
+_DEFAULT_TARGETS = Targets()
+_DEFAULT_WORKSPACE = Workspace()
 
 
-class Terms:
+class ServiceLevels:
     """What the configuration in force says about requests."""
 
     def __init__(
@@ -36,9 +36,9 @@
         self._host_count = host_count
 
     @property
-    def sharers(self) -> int:
+    def peer_count(self) -> int:
         """Other hosts that are taken to place work on the same upstreams."""
-        return min(_MOST_SHARERS, max(0, self._host_count() - 1))
+        return min(_MAX_PEER_COUNT, max(0, self._host_count() - 1))
 
     @property
     def max_queue(self) -> int:
@@ -54,7 +54,7 @@
         """Return the targets of the request's deployment."""
         deployment = self._configuration().deployments.get(request.target)
         if deployment is None:
-            return _ANY_TARGETS
+            return _DEFAULT_TARGETS
         return Targets(
             deployment.first_token_seconds, deployment.between_tokens_seconds
         )
@@ -70,4 +70,4 @@
         )
 
     def _workspace(self, name: str) -> Workspace:
-        return self._configuration().workspaces.get(name, _ANY_WORKSPACE)
+        return self._configuration().workspaces.get(name, _DEFAULT_WORKSPACE)
--- a/src/pepperstep/routing/status.py
+++ b/src/pepperstep/routing/status.py
@@ -15,7 +15,7 @@
     name: str
     # Attempts of this host, and those of others as estimated.
     in_flight: int
-    others: int
+    others_in_flight: int
     limit: float
     state: BreakerState
     ejections: int
@@ -26,7 +26,7 @@
         return cls(
             tracked.upstream.name,
             tracked.in_flight,
-            tracked.others,
+            tracked.others_in_flight,
             tracked.limit.value,
             tracked.breaker.state,
             tracked.breaker.ejections,
--- a/src/pepperstep/routing/work.py
+++ b/src/pepperstep/routing/work.py
@@ -5,11 +5,11 @@
 
 from pepperstep.entities import Request, RequestKind, Upstream
 
-__all__ = ["Work", "pool_key", "pool_keys"]
+__all__ = ["WorkEstimate", "pool_key", "pool_keys"]
 
 
 @dataclass(frozen=True, slots=True)
-class Work:
+class WorkEstimate:
     """One attempt's work."""
 
     request: Request
--- a/tests/routing/test_breakers.py
+++ b/tests/routing/test_breakers.py
@@ -26,8 +26,8 @@
 )
 def test_results_eject(policy, results, expected):
     breaker = Breaker(RoutingSettings())
-    for step, is_good in enumerate(results):
-        BREAKERS[policy](breaker, is_good, step * 0.1)
+    for step, is_success in enumerate(results):
+        BREAKERS[policy](breaker, is_success, step * 0.1)
     assert breaker.refresh(len(results) * 0.1) is expected
 
 
--- a/tests/routing/test_placement.py
+++ b/tests/routing/test_placement.py
@@ -49,9 +49,9 @@
     site.view.report("a", running=2)
     site.router.status  # noqa: B018 - takes the report in
     status = site.router.status.upstreams[0]
-    assert (status.in_flight, status.others) == (2, 0)
+    assert (status.in_flight, status.others_in_flight) == (2, 0)
     site.view.report("a", running=5)
-    assert site.router.status.upstreams[0].others == 3
+    assert site.router.status.upstreams[0].others_in_flight == 3
 
 
 async def test_other_hosts_are_taken_to_start_as_much(autojump_clock):
@@ -137,24 +137,24 @@
 )
 def test_beliefs_follow_events(events, low, high):
     index = PrefixIndex(half_life=600, blocks_per_upstream=100, event_lag=2.0)
-    index.note_event(CacheEvent("a", 1, 1), 0.0)
-    index.note_placed("a", HASHES, 0.0)
+    index.apply_event(CacheEvent("a", 1, 1), 0.0)
+    index.record_placement("a", HASHES, 0.0)
     for event in events:
         if event == "placed":
-            index.note_placed("a", HASHES, 199.0)
+            index.record_placement("a", HASHES, 199.0)
         else:
-            index.note_event(CacheEvent("a", *event), 200.0)
+            index.apply_event(CacheEvent("a", *event), 200.0)
     assert low <= index.cached_blocks("a", HASHES, 200.0) <= high
 
 
 def test_beliefs_are_bounded_and_trusted_by_what_is_found():
     index = PrefixIndex(half_life=600, blocks_per_upstream=10, event_lag=2.0)
-    index.note_placed("a", HASHES, 0.0)
+    index.record_placement("a", HASHES, 0.0)
     # The first blocks are those that are kept.
     assert index.cached_blocks("a", HASHES, 0.0) == 10
     assert index.find_holders(HASHES) == ["a"]
     for _ in range(40):
-        index.note_found("a", expected=10, found=0)
+        index.record_hits("a", expected=10, found=0)
     assert index.cached_blocks("a", HASHES, 0.0) < 1
     index.forget("a")
     assert index.find_holders(HASHES) == []
--- a/tests/routing/test_queue.py
+++ b/tests/routing/test_queue.py
@@ -11,7 +11,7 @@
 from pepperstep.errors import Code, Execution, Failure
 from pepperstep.routing.limits import LIMITS, AdaptiveLimit, LatencySample
 from pepperstep.routing.queue import FairQueue, Waiter, order_fairly
-from pepperstep.routing.work import Work
+from pepperstep.routing.work import WorkEstimate
 from tests.routing.sites import NONE, Site
 
 BATCH = {"priority": Priority.BATCH, "workspace": "large"}
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize(
-    ("waves", "count", "name", "least", "baseline"),
+    ("waves", "count", "name", "minimum", "baseline"),
     [
         # Replies overtake the reviews that wait.
         ([(20, BATCH), (4, REPLY)], 6, "desk", 4, {"queue": "fifo"}),
@@ -48,12 +48,12 @@
         ),
     ],
 )
-async def test_starts_are_fair(autojump_clock, waves, count, name, least, baseline):
+async def test_starts_are_fair(autojump_clock, waves, count, name, minimum, baseline):
     for changes, is_fair in (({}, True), (baseline, False)):
         site = Site(engines=1, slots=2, refuses_early=False, **changes)
         started = await started_of(site, waves)
         got = Counter(each.workspace for each in started[:count])[name]
-        assert (got >= least) is is_fair
+        assert (got >= minimum) is is_fair
 
 
 async def test_weights_and_most_in_flight(autojump_clock):
@@ -74,7 +74,7 @@
     request = Request(
         "r", workspace, RequestKind.CHAT, "pool", Priority.STANDARD, deadline=0.0
     )
-    return Waiter(Work(request, 1, 1, 1.0, [], 0.0), NONE, cost, 0.0, 0.0)
+    return Waiter(WorkEstimate(request, 1, 1, 1.0, [], 0.0), NONE, cost, 0.0, 0.0)
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
@@ -95,8 +95,8 @@
         name = head.work.request.workspace
         got[name] += head.cost / weights[name]
         spread = max(got.values()) - min(got.values())
-        largest = max(cost_of[each] / weights[each] for each in weights)
-        assert spread <= largest + 1e-9
+        maximum = max(cost_of[each] / weights[each] for each in weights)
+        assert spread <= maximum + 1e-9
 
 
 async def refusal_of(site: Site, request: Request) -> Failure | None:
@@ -196,13 +196,13 @@
 
 @pytest.mark.parametrize("policy", list(LIMITS))
 def test_limits_follow_latency_within_their_bounds(policy):
-    limit = AdaptiveLimit(LIMITS[policy], least=4, largest=16, period=0.5)
+    limit = AdaptiveLimit(LIMITS[policy], minimum=4, maximum=16, period=0.5)
     values = []
     for step in range(200):
         # Latency grows with what is in flight, up to step 150.
         in_flight = limit.value
         measured = 0.02 * max(1.0, in_flight / 8) if step < 150 else 0.02
-        limit.note(LatencySample(measured, 0.02), 1.2, now=step * 0.6)
+        limit.update(LatencySample(measured, 0.02), 1.2, now=step * 0.6)
         values.append(limit.value)
     assert all(4 <= value <= 16 for value in values)
     if policy == "fixed":
--- a/tests/routing/test_retries.py
+++ b/tests/routing/test_retries.py
@@ -10,7 +10,7 @@
 from pepperstep.errors import Code, Execution, Failure
 from pepperstep.ports.upstreams import EndMark
 from pepperstep.routing import RetryBudget, RetryCause, RoutingSettings
-from pepperstep.routing.retries import draw_pause
+from pepperstep.routing.retries import draw_backoff
 from tests.routing.sites import NONE, Site
 
 
@@ -21,9 +21,9 @@
     paid = 0
     for number in range(firsts):
         now = number / rate
-        budget.note_first("offices", 0.1, now)
+        budget.record_first_attempt("offices", 0.1, now)
         # Each attempt fails.
-        while budget.take("offices", now):
+        while budget.spend("offices", now):
             paid += 1
     quiet = firsts / rate / RoutingSettings().retry_floor_period
     assert paid <= 3 + max(0.1 * firsts, min(firsts, quiet))
@@ -34,28 +34,28 @@
     budget = RetryBudget(RoutingSettings())
     paid = []
     for hour in range(20):
-        budget.note_first("offices", 0.1, hour * 3600.0)
-        paid.append(budget.take("offices", hour * 3600.0))
+        budget.record_first_attempt("offices", 0.1, hour * 3600.0)
+        paid.append(budget.spend("offices", hour * 3600.0))
     assert all(paid)
 
 
 def test_one_workspace_cannot_use_up_anothers_budget():
     budget = RetryBudget(RoutingSettings())
     for number in range(1000):
-        budget.note_first("large", 0.1, number * 0.01)
-        budget.note_first("small", 0.1, number * 0.01)
-        while budget.take("large", number * 0.01):
+        budget.record_first_attempt("large", 0.1, number * 0.01)
+        budget.record_first_attempt("small", 0.1, number * 0.01)
+        while budget.spend("large", number * 0.01):
             pass
-    assert budget.take("small", 10.0)
+    assert budget.spend("small", 10.0)
 
 
 def test_debts_are_paid_back():
     budget = RetryBudget(RoutingSettings(retry_burst=5))
     for _ in range(100):
-        budget.take("offices", 0.0, may_exceed=True)
+        budget.spend("offices", 0.0, may_overdraw=True)
     firsts = 0
-    while not budget.take("offices", 0.0):
-        budget.note_first("offices", 0.1, 0.0)
+    while not budget.spend("offices", 0.0):
+        budget.record_first_attempt("offices", 0.1, 0.0)
         firsts += 1
     # The host's debt of 50 retries.
     assert 500 <= firsts <= 520
@@ -65,7 +65,7 @@
     settings = RoutingSettings()
     for retry, largest in ((1, 0.05), (3, 0.2), (50, 2.0)):
         rng = random.Random(retry)
-        pauses = [draw_pause(retry, rng, settings) for _ in range(2000)]
+        pauses = [draw_backoff(retry, rng, settings) for _ in range(2000)]
         assert max(pauses) <= largest
         assert statistics.mean(pauses) == pytest.approx(largest / 2, rel=0.1)
 
