--- a/src/pepperstep/programs/entry_host.py
+++ b/src/pepperstep/programs/entry_host.py
@@ -264,14 +264,14 @@
     ) -> None:
         rollout = self.versions.get(upstream.service)
         if rollout is not None and rollout.is_running:
-            self._observer.note_outcome(rollout, route, upstream, seconds, expected)
+            self._observer.record_outcome(rollout, route, upstream, seconds, expected)
 
     def _take_rollouts(self, reply: pb.SyncReply) -> None:
         if reply.judge:
             self._observer.judge = reply.judge
         for message in reply.rollouts:
             rollout = Rollout.from_message(message)
-            if self.versions.take(rollout):
+            if self.versions.update(rollout):
                 logging.info(
                     "entry: Roll-out %d of %s to %s is %s at %.0f%%.",
                     rollout.number,
@@ -283,7 +283,7 @@
                 self._observer.wake()
 
     def _note_upstream(self, announcement: Announcement) -> None:
-        self.versions.note_upstream(announcement)
+        self.versions.observe_upstream(announcement)
         if not announcement.takes_work:
             self._pools.drop(announcement.key)
         if announcement.is_gone:
