--- a/proofs/changes.py
+++ b/proofs/changes.py
@@ -7,7 +7,7 @@
 _TABLES = "tests/relaying/test_table_changes.py::"
 _UPDATES = "tests/relaying/test_table_updates.py::"
 _HOSTS = "tests/rollouts/test_hosts.py::"
-_JUDGEMENT = "tests/rollouts/test_judgement.py::"
+_EVALUATION = "tests/rollouts/test_evaluation.py::"
 _MACHINE = "tests/rollouts/test_machine.py::"
 _VERSIONS = "tests/rollouts/test_versions.py::"
 
@@ -56,7 +56,7 @@
         7,
         "an order for a roll-out that is sent again changes nothing",
         "rollouts/machine.py",
-        "held.to == start.to and _is_repeat(held, start)",
+        "last.to == start.to and _is_repeat(last, start)",
         "False",
         (f"{_MACHINE}test_order_that_is_sent_again_changes_nothing",),
     ),
@@ -64,7 +64,7 @@
         7,
         "one version is rolled out at a time",
         "rollouts/machine.py",
-        "        if held is not None and held.is_running:\n            return False\n",
+        "        if last is not None and last.is_running:\n            return False\n",
         "",
         (f"{_MACHINE}test_other_version_is_refused_while_one_runs",),
     ),
@@ -98,22 +98,22 @@
     Mechanism(
         7,
         "outcomes since the latest step are judged alone, too",
-        "rollouts/judgement.py",
+        "rollouts/evaluation.py",
         "    if before is not None:",
         "    if False:",
         (
-            f"{_JUDGEMENT}"
+            f"{_EVALUATION}"
             "test_version_that_turns_bad_by_its_load_is_found_in_spite_of_its_record",
         ),
     ),
     Mechanism(
         7,
         "what one of several upstreams does isn't its version's fault",
-        "rollouts/judgement.py",
+        "rollouts/evaluation.py",
         "    if len(upstreams) < 2:",
         "    if True:",
         (
-            f"{_JUDGEMENT}"
+            f"{_EVALUATION}"
             "test_what_one_of_several_upstreams_does_is_not_the_versions_fault",
         ),
     ),
@@ -121,8 +121,8 @@
         7,
         "a version succeeds once nothing is under way at the others",
         "rollouts/plan.py",
-        "    is_quiet = not situation.in_flight and _is_step_over(rollout, situation)",
-        "    is_quiet = _is_step_over(rollout, situation)",
+        "    is_idle = not situation.in_flight and _is_step_over(rollout, situation)",
+        "    is_idle = _is_step_over(rollout, situation)",
         ("tests/rollouts/test_plan.py",),
     ),
 )
--- a/src/pepperstep/rollouts/director.py
+++ b/src/pepperstep/rollouts/director.py
@@ -13,7 +13,7 @@
 from pepperstep.observability.decisions import RolloutMoved
 from pepperstep.ports import Agreement, PeerNetwork, Timers
 from pepperstep.proto import rollouts_pb2 as pb
-from pepperstep.rollouts.judgement import Verdict, judge
+from pepperstep.rollouts.evaluation import Verdict, evaluate
 from pepperstep.rollouts.machine import ROLLOUT_MACHINE, RolloutMachine
 from pepperstep.rollouts.outcomes import Outcomes
 from pepperstep.rollouts.plan import ExposureBound, Move, Situation, next_move
@@ -25,11 +25,11 @@
 _PROPOSE_SECONDS = 0.9
 _READ_SECONDS = 0.8
 # Shortest time that requests are counted over for their rate, in seconds.
-_RATE_SECONDS = 0.5
+_MIN_RATE_SECONDS = 0.5
 # Time until a new leader has heard of all entry hosts, in seconds.
-_LEARN_SECONDS = 1.0
+_NEW_LEADER_SECONDS = 1.0
 # Time after which what an entry host told is left out of what's under way, in seconds.
-_SILENCE_SECONDS = 2.0
+_EVIDENCE_TTL_SECONDS = 2.0
 
 
 @dataclass(slots=True)
@@ -68,9 +68,9 @@
         self._resend_seconds = resend_seconds
         self._bound = bound
         self._evidence: dict[str, _Evidence] = {}
-        self._led_since: float | None = None
+        self._leader_since: float | None = None
         self._subscribers: list[Callable[[Rollout], None]] = []
-        machine.on_change = self._note_change
+        machine.on_change = self._notify_subscribers
         peers.handle(pb.RolloutEvidence, self._on_evidence)
 
     @property
@@ -80,7 +80,7 @@
 
     def messages(self) -> list[pb.RolloutRecord]:
         """Return the latest roll-out of each service."""
-        return [each.to_message() for each in self._machine.known()]
+        return [each.to_message() for each in self._machine.latest()]
 
     def expect(self, messages: Iterable[pb.RolloutRecord]) -> None:
         """Take in what `messages` gave before this host's start."""
@@ -135,17 +135,17 @@
         """Move roll-outs on while this host leads, until cancelled."""
         async for now in self._timers.subscribe(_POLL_SECONDS):
             if not self._agreement.is_leader:
-                self._led_since = None
+                self._leader_since = None
                 continue
-            if self._led_since is None:
-                self._led_since = now
+            if self._leader_since is None:
+                self._leader_since = now
             running = self._machine.running()
             for service in self._evidence.keys() - {each.service for each in running}:
                 del self._evidence[service]
             for rollout in running:
-                await self._keep(rollout)
+                await self._advance(rollout)
 
-    async def _keep(self, rollout: Rollout) -> None:
+    async def _advance(self, rollout: Rollout) -> None:
         evidence = self._evidence_of(rollout.service, rollout.number)
         outcomes = Outcomes.sum_of(outcomes for _, outcomes in evidence.hosts.values())
         if evidence.changed_at != rollout.changed_at:
@@ -161,31 +161,31 @@
     ) -> Situation:
         now = self._wall()
         ended = outcomes.of_new().total
-        seconds = max(now - rollout.started_at, _RATE_SECONDS)
+        seconds = max(now - rollout.started_at, _MIN_RATE_SECONDS)
         working = self._book.working(rollout.service)
         new_count = sum(each.software == rollout.to for each in working)
-        limit = self._timers.now() - _SILENCE_SECONDS
+        oldest_at = self._timers.now() - _EVIDENCE_TTL_SECONDS
         in_flight = sum(
-            part.in_flight for at, part in evidence.hosts.values() if at >= limit
+            part.in_flight for at, part in evidence.hosts.values() if at >= oldest_at
         )
-        has_listened = self._timers.now() - self._led_since >= _LEARN_SECONDS
+        has_waited = self._timers.now() - self._leader_since >= _NEW_LEADER_SECONDS
         return Situation(
             now=now,
             new_count=new_count,
             old_count=len(working) - new_count,
             needed=upstreams_for(self._entries.work_of(rollout.service)),
-            verdict=judge(outcomes, evidence.before) if ended else Verdict(False),
+            verdict=evaluate(outcomes, evidence.before) if ended else Verdict(False),
             rate=(ended + outcomes.of_old().total) / seconds,
             outcomes=ended,
             outcomes_before=evidence.before.of_new().total,
             in_flight=in_flight,
-            is_informed=has_listened and self._hears_all(evidence, limit),
+            is_informed=has_waited and self._has_majority_evidence(evidence, oldest_at),
         )
 
-    def _hears_all(self, evidence: _Evidence, limit: float) -> bool:
+    def _has_majority_evidence(self, evidence: _Evidence, oldest_at: float) -> bool:
         """Whether most entry hosts' outcomes are known as they are now."""
-        heard = sum(at >= limit for at, _ in evidence.hosts.values())
-        return 2 * heard > self._entries.count
+        fresh = sum(at >= oldest_at for at, _ in evidence.hosts.values())
+        return 2 * fresh > self._entries.count
 
     async def _move(self, rollout: Rollout, move: Move, situation: Situation) -> None:
         replaced: tuple[str, ...] = ()
@@ -232,10 +232,10 @@
         return tuple(sorted(versions - {rollout.to}))
 
     def _evidence_of(self, service: str, number: int) -> _Evidence:
-        held = self._evidence.get(service)
-        if held is None or held.number < number:
-            held = self._evidence[service] = _Evidence(number)
-        return held
+        last = self._evidence.get(service)
+        if last is None or last.number < number:
+            last = self._evidence[service] = _Evidence(number)
+        return last
 
     async def _on_evidence(
         self, message: pb.RolloutEvidence, sender: str
@@ -250,7 +250,7 @@
         evidence.hosts[key] = (self._timers.now(), outcomes)
         return pb.RolloutEvidenceReply(is_judge=True)
 
-    def _note_change(self, rollout: Rollout) -> None:
+    def _notify_subscribers(self, rollout: Rollout) -> None:
         for subscriber in self._subscribers:
             subscriber(rollout)
 
--- a/src/pepperstep/rollouts/judgement.py
+++ b/src/pepperstep/rollouts/evaluation.py
@@ -12,19 +12,19 @@
 
 from pepperstep.rollouts.outcomes import Outcomes, Tally
 
-__all__ = ["Verdict", "judge", "log_evidence"]
+__all__ = ["Verdict", "evaluate", "log_evidence"]
 
 # Chance that a version which is as good as the others is taken for worse.
-_FALSE_ALARMS = 1e-3
+_FALSE_ALARM_PROBABILITY = 1e-3
 # Shares of bad outcomes beyond the others' that a worse version may have.
-_EXCESSES = (0.05, 0.15, 0.4)
+_EXCESS_SHARES = (0.05, 0.15, 0.4)
 # Bad outcomes that a verdict needs: fewer are no pattern.
-_LEAST_BAD = 4
+_MIN_BAD_OUTCOMES = 4
 # Outcomes of the others that count as known beforehand, one of them bad.
-_PRIOR = 20
+_PRIOR_OUTCOMES = 20
 # Answers that take so many classes longer than the others' median are slow: three
 # to four times as long.
-_SLOW_CLASSES = 4
+_SLOW_BUCKETS = 4
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,35 +44,39 @@
     name: str
     bad: int
     total: int
-    others_bad: int
-    others_total: int
+    old_bad: int
+    old_total: int
     # Share of bad outcomes that the others may have.
-    others_share: float
+    old_share: float
 
 
-def judge(outcomes: Outcomes, before: Outcomes | None = None) -> Verdict:
+def evaluate(outcomes: Outcomes, before: Outcomes | None = None) -> Verdict:
     """Return whether the new version is worse, on one route at least.
 
     What a single one of several upstreams does is that upstream's fault. With `before`,
     the outcomes when its share last changed, those since then are judged alone besides:
     a version may turn bad by its load.
     """
-    worst = Verdict(False)
+    strongest = Verdict(False)
     comparisons = list(_compare(outcomes, outcomes))
     if before is not None:
-        comparisons += _compare(outcomes.since(before), outcomes)
-    threshold = math.log(len(comparisons) / _FALSE_ALARMS) if comparisons else math.inf
+        comparisons += _compare(outcomes.subtract(before), outcomes)
+    threshold = (
+        math.log(len(comparisons) / _FALSE_ALARM_PROBABILITY)
+        if comparisons
+        else math.inf
+    )
     for each in comparisons:
-        evidence = log_evidence(each.bad, each.total, each.others_share)
-        if evidence > worst.evidence or not worst.reason:
-            is_bad = evidence >= threshold and each.bad >= _LEAST_BAD
-            worst = Verdict(is_bad or worst.is_bad, evidence, _describe(each))
-    return worst
+        evidence = log_evidence(each.bad, each.total, each.old_share)
+        if evidence > strongest.evidence or not strongest.reason:
+            is_bad = evidence >= threshold and each.bad >= _MIN_BAD_OUTCOMES
+            strongest = Verdict(is_bad or strongest.is_bad, evidence, _describe(each))
+    return strongest
 
 
 def log_evidence(bad: int, total: int, share: float) -> float:
     """Return the logarithm of the evidence that more than `share` are bad."""
-    ratios = [_log_ratio(bad, total, share, excess) for excess in _EXCESSES]
+    ratios = [_log_ratio(bad, total, share, excess) for excess in _EXCESS_SHARES]
     highest = max(ratios)
     mean = sum(math.exp(ratio - highest) for ratio in ratios) / len(ratios)
     return highest + math.log(mean)
@@ -84,32 +88,32 @@
     return bad * math.log(higher / share) + good * math.log((1 - higher) / (1 - share))
 
 
-def _others_share(now: tuple[int, int], always: tuple[int, int]) -> float:
+def _old_share(current: tuple[int, int], baseline: tuple[int, int]) -> float:
     """Return the worse of the others' shares, that of now if it rests on enough."""
-    share = _upper_share(*always)
-    if now[1] < _PRIOR:
+    share = _upper_share(*baseline)
+    if current[1] < _PRIOR_OUTCOMES:
         return share
-    return max(share, _upper_share(*now))
+    return max(share, _upper_share(*current))
 
 
 def _upper_share(bad: int, total: int) -> float:
     """Return what share of bad outcomes the others may have at most."""
-    mean = (bad + 1) / (total + _PRIOR)
-    margin = math.sqrt(mean * (1 - mean) / (total + _PRIOR))
+    mean = (bad + 1) / (total + _PRIOR_OUTCOMES)
+    margin = math.sqrt(mean * (1 - mean) / (total + _PRIOR_OUTCOMES))
     return min(mean + margin, 0.9)
 
 
-def _compare(outcomes: Outcomes, usual: Outcomes) -> Iterator[_Comparison]:
+def _compare(outcomes: Outcomes, baseline: Outcomes) -> Iterator[_Comparison]:
     """Yield the comparisons, each without the upstream that did worst in it.
 
     The others are taken as they were in the same time, or as in all the time that
-    `usual` tells of, where that was worse.
+    `baseline` tells of, where that was worse.
     """
     for route in (None, *sorted(outcomes.routes())):
         name = "all routes" if route is None else f"route {route}"
         old = outcomes.of_old(route)
-        always = usual.of_old(route)
-        limit = _slow_limit(always)
+        old_baseline = baseline.of_old(route)
+        limit = _slow_limit(old_baseline)
         failing = _worst_upstream(outcomes, route, _failed_count)
         new = outcomes.of_new(route, failing)
         yield _Comparison(
@@ -118,7 +122,9 @@
             new.total,
             old.failed,
             old.total,
-            _others_share((old.failed, old.total), (always.failed, always.total)),
+            _old_share(
+                (old.failed, old.total), (old_baseline.failed, old_baseline.total)
+            ),
         )
         if limit is None or route is None:
             # Routes differ in how long their answers take.
@@ -131,8 +137,9 @@
             new.answers,
             old.slow(limit),
             old.answers,
-            _others_share(
-                (old.slow(limit), old.answers), (always.slow(limit), always.answers)
+            _old_share(
+                (old.slow(limit), old.answers),
+                (old_baseline.slow(limit), old_baseline.answers),
             ),
         )
 
@@ -161,18 +168,18 @@
 
 def _slow_limit(old: Tally) -> int | None:
     """Return the class from which answers are slow, None where nothing is known."""
-    if old.answers < _PRIOR:
+    if old.answers < _PRIOR_OUTCOMES:
         return None
-    passed = 0
+    cumulative = 0
     for each in sorted(old.answered):
-        passed += old.answered[each]
-        if 2 * passed >= old.answers:
-            return each + _SLOW_CLASSES
+        cumulative += old.answered[each]
+        if 2 * cumulative >= old.answers:
+            return each + _SLOW_BUCKETS
     return None
 
 
 def _describe(comparison: _Comparison) -> str:
     return (
         f"{comparison.name}: {comparison.bad} of {comparison.total}, "
-        f"others {comparison.others_bad} of {comparison.others_total}"
+        f"others {comparison.old_bad} of {comparison.old_total}"
     )
--- a/src/pepperstep/rollouts/machine.py
+++ b/src/pepperstep/rollouts/machine.py
@@ -18,7 +18,7 @@
         self.on_change = on_change
         self._rollouts: dict[str, Rollout] = {}
         # What was agreed on before this host's start; the log may not be read yet.
-        self._earlier: dict[str, Rollout] = {}
+        self._preloaded: dict[str, Rollout] = {}
         # Position in the log of the latest change that is known.
         self.index = 0
 
@@ -26,22 +26,22 @@
         """Return a service's latest roll-out, None if it had none."""
         return self._rollouts.get(service)
 
-    def known(self) -> list[Rollout]:
+    def latest(self) -> list[Rollout]:
         """Return the newest that's known of each service's latest roll-out.
 
         Right after a start that's more than what the log's applied part says.
         """
-        merged = dict(self._earlier)
+        merged = dict(self._preloaded)
         for service, rollout in self._rollouts.items():
-            earlier = merged.get(service)
-            if earlier is None or earlier.index <= rollout.index:
+            preloaded = merged.get(service)
+            if preloaded is None or preloaded.index <= rollout.index:
                 merged[service] = rollout
         return list(merged.values())
 
     def expect(self, rollouts: Iterable[Rollout]) -> None:
         """Take in what was agreed on before this host's start."""
         for rollout in rollouts:
-            self._earlier[rollout.service] = rollout
+            self._preloaded[rollout.service] = rollout
             self.index = max(self.index, rollout.index)
 
     def running(self) -> list[Rollout]:
@@ -52,15 +52,15 @@
         """Carry out a command and return a `RolloutAnswer`."""
         message = pb.RolloutCommand.FromString(command)
         if message.WhichOneof("kind") == "start":
-            is_taken = self._start(index, message.start)
+            is_accepted = self._start(index, message.start)
             service = message.start.service
         else:
-            is_taken = self._move(index, message.move)
+            is_accepted = self._move(index, message.move)
             service = message.move.service
-        answer = pb.RolloutAnswer(is_refused=not is_taken)
-        held = self._rollouts.get(service)
-        if held is not None:
-            answer.record.CopyFrom(held.to_message())
+        answer = pb.RolloutAnswer(is_refused=not is_accepted)
+        last = self._rollouts.get(service)
+        if last is not None:
+            answer.record.CopyFrom(last.to_message())
         return answer.SerializeToString()
 
     def snapshot(self) -> bytes:
@@ -73,19 +73,19 @@
         for record in pb.RolloutState.FromString(data).records:
             rollout = Rollout.from_message(record)
             if self._rollouts.get(rollout.service) != rollout:
-                self._put(rollout)
+                self._store(rollout)
 
     def _start(self, index: int, start: pb.RolloutStart) -> bool:
         """Begin a roll-out, unless the order repeats the latest one.
 
         Return whether the order stands; another version waits for the running one.
         """
-        held = self._rollouts.get(start.service)
-        if held is not None and held.to == start.to and _is_repeat(held, start):
+        last = self._rollouts.get(start.service)
+        if last is not None and last.to == start.to and _is_repeat(last, start):
             return True
-        if held is not None and held.is_running:
+        if last is not None and last.is_running:
             return False
-        number = 1 if held is None else held.number + 1
+        number = 1 if last is None else last.number + 1
         rollout = Rollout(
             start.service,
             number,
@@ -95,16 +95,16 @@
             changed_at=start.at,
             index=index,
         )
-        self._put(rollout)
+        self._store(rollout)
         return True
 
     def _move(self, index: int, move: pb.RolloutMove) -> bool:
-        held = self._rollouts.get(move.service)
-        if held is None or held.number != move.number or not held.is_running:
+        last = self._rollouts.get(move.service)
+        if last is None or last.number != move.number or not last.is_running:
             return False
-        self._put(
+        self._store(
             replace(
-                held,
+                last,
                 state=RolloutState(move.state),
                 share=move.share,
                 changed_at=move.at,
@@ -116,18 +116,18 @@
         )
         return True
 
-    def _put(self, rollout: Rollout) -> None:
+    def _store(self, rollout: Rollout) -> None:
         self._rollouts[rollout.service] = rollout
         self.index = max(self.index, rollout.index)
         self.on_change(rollout)
 
 
-def _is_repeat(held: Rollout, start: pb.RolloutStart) -> bool:
+def _is_repeat(last: Rollout, start: pb.RolloutStart) -> bool:
     """Whether an order for the same version brings nothing new.
 
     One that comes after a roll-back may be the first order sent again, or a second
     try: the first for as long as orders may be sent again.
     """
-    if held.state is not RolloutState.ROLLED_BACK:
+    if last.state is not RolloutState.ROLLED_BACK:
         return True
-    return start.at - held.started_at <= start.resend_seconds
+    return start.at - last.started_at <= start.resend_seconds
--- a/src/pepperstep/rollouts/observer.py
+++ b/src/pepperstep/rollouts/observer.py
@@ -9,22 +9,22 @@
 from pepperstep.errors import Failure
 from pepperstep.ports import PeerNetwork, Timers
 from pepperstep.proto import rollouts_pb2 as pb
-from pepperstep.rollouts.outcomes import Outcomes, speed_class
+from pepperstep.rollouts.outcomes import Outcomes, latency_bucket
 from pepperstep.rollouts.records import Rollout
 
 __all__ = ["RolloutObserver"]
 
 # Between two messages to the judge, in seconds: where the new version has answered
 # or failed, and else. A bad one that gets all requests is stopped by the first.
-_PERIOD_SECONDS = 0.1
-_IDLE_SECONDS = 0.75
+_REPORT_PERIOD_SECONDS = 0.1
+_IDLE_REPORT_PERIOD_SECONDS = 0.75
 _CALL_SECONDS = 0.5
 # Time since the judge's latest answer after which nobody judges, in seconds.
-_JUDGED_SECONDS = 1.2
+_ACKNOWLEDGEMENT_TTL_SECONDS = 1.2
 # Requests that failed in a row on a new version after which this host sends it no
 # others for some seconds, whatever the judge knows.
-_MOST_IN_A_ROW = 3
-_STOP_SECONDS = 2.0
+_MAX_CONSECUTIVE_FAILURES = 3
+_SUSPENSION_SECONDS = 2.0
 
 
 class _Observation:
@@ -33,12 +33,12 @@
     def __init__(self, number: int):
         self.number = number
         self.outcomes = Outcomes()
-        self.failed_in_a_row = 0
-        self.stopped_until = float("-inf")
-        self.is_told = False
-        self.told_at = float("-inf")
+        self.consecutive_failures = 0
+        self.suspended_until = float("-inf")
+        self.is_reported = False
+        self.reported_at = float("-inf")
         # When the latest message was made that the judge has acknowledged.
-        self.judged_at = float("-inf")
+        self.acknowledged_at = float("-inf")
 
 
 class RolloutObserver:
@@ -72,9 +72,9 @@
         """Whether the judge knows what happens here, and this host sees no fault."""
         observation = self._observation(rollout)
         now = self._timers.now()
-        if now < observation.stopped_until:
+        if now < observation.suspended_until:
             return False
-        return now - observation.judged_at < _JUDGED_SECONDS
+        return now - observation.acknowledged_at < _ACKNOWLEDGEMENT_TTL_SECONDS
 
     def wake(self) -> None:
         """Tell the judge at once; called when a roll-out has changed."""
@@ -99,19 +99,21 @@
             tally.failed += 1
         else:
             tally.answered[
-                speed_class(seconds / expected if expected else seconds)
+                latency_bucket(seconds / expected if expected else seconds)
             ] += 1
         if is_new:
-            self._note_new(observation, is_failure=seconds is None)
+            self._record_new_version(observation, is_failure=seconds is None)
 
-    def _note_new(self, observation: _Observation, *, is_failure: bool) -> None:
-        observation.is_told = False
+    def _record_new_version(
+        self, observation: _Observation, *, is_failure: bool
+    ) -> None:
+        observation.is_reported = False
         if not is_failure:
-            observation.failed_in_a_row = 0
+            observation.consecutive_failures = 0
             return
-        observation.failed_in_a_row += 1
-        if observation.failed_in_a_row >= _MOST_IN_A_ROW:
-            observation.stopped_until = self._timers.now() + _STOP_SECONDS
+        observation.consecutive_failures += 1
+        if observation.consecutive_failures >= _MAX_CONSECUTIVE_FAILURES:
+            observation.suspended_until = self._timers.now() + _SUSPENSION_SECONDS
 
     async def run(self) -> None:
         """Tell until cancelled."""
@@ -124,23 +126,23 @@
                 continue
             for rollout in rollouts:
                 if self._is_due(self._observation(rollout)):
-                    await self._tell(rollout)
-            await self._timers.sleep(_PERIOD_SECONDS)
+                    await self._report(rollout)
+            await self._timers.sleep(_REPORT_PERIOD_SECONDS)
 
     def _observation(self, rollout: Rollout) -> _Observation:
-        held = self._observations.get(rollout.service)
-        if held is None or held.number != rollout.number:
-            held = self._observations[rollout.service] = _Observation(rollout.number)
-        return held
+        last = self._observations.get(rollout.service)
+        if last is None or last.number != rollout.number:
+            last = self._observations[rollout.service] = _Observation(rollout.number)
+        return last
 
     def _is_due(self, observation: _Observation) -> bool:
-        passed = self._timers.now() - observation.told_at
-        return not observation.is_told or passed >= _IDLE_SECONDS
+        elapsed = self._timers.now() - observation.reported_at
+        return not observation.is_reported or elapsed >= _IDLE_REPORT_PERIOD_SECONDS
 
-    async def _tell(self, rollout: Rollout) -> None:
+    async def _report(self, rollout: Rollout) -> None:
         observation = self._observation(rollout)
-        observation.is_told = True
-        observation.told_at = self._timers.now()
+        observation.is_reported = True
+        observation.reported_at = self._timers.now()
         message = pb.RolloutEvidence(
             service=rollout.service,
             number=rollout.number,
@@ -149,12 +151,12 @@
             outcomes=observation.outcomes.to_messages(),
             in_flight=self._in_flight(rollout),
         )
-        if await self._is_taken(message):
-            observation.judged_at = observation.told_at
+        if await self._send_evidence(message):
+            observation.acknowledged_at = observation.reported_at
         else:
-            observation.is_told = False
+            observation.is_reported = False
 
-    async def _is_taken(self, message: pb.RolloutEvidence) -> bool:
+    async def _send_evidence(self, message: pb.RolloutEvidence) -> bool:
         """Whether the judge has acknowledged what this host saw."""
         if not self.judge:
             return False
--- a/src/pepperstep/rollouts/outcomes.py
+++ b/src/pepperstep/rollouts/outcomes.py
@@ -7,18 +7,18 @@
 
 from pepperstep.proto import rollouts_pb2 as pb
 
-__all__ = ["Outcomes", "Tally", "speed_class"]
+__all__ = ["Outcomes", "Tally", "latency_bucket"]
 
 # Classes of how long answers took: two in each doubling, from a millisecond on.
-_CLASSES_A_DOUBLING = 2
-_SHORTEST = 0.001
-_MAX_CLASS = 63
+_BUCKETS_PER_DOUBLING = 2
+_MIN_SECONDS = 0.001
+_MAX_BUCKET = 63
 
 
-def speed_class(value: float) -> int:
+def latency_bucket(value: float) -> int:
     """Return the class of a time in seconds, or of its ratio to the expected one."""
-    doublings = math.log2(max(value, _SHORTEST) / _SHORTEST)
-    return min(int(_CLASSES_A_DOUBLING * doublings), _MAX_CLASS)
+    doublings = math.log2(max(value, _MIN_SECONDS) / _MIN_SECONDS)
+    return min(int(_BUCKETS_PER_DOUBLING * doublings), _MAX_BUCKET)
 
 
 @dataclass(slots=True)
@@ -77,7 +77,7 @@
             outcomes.tallies[each.route, each.upstream] = tally
         return outcomes
 
-    def since(self, earlier: "Outcomes") -> "Outcomes":
+    def subtract(self, earlier: "Outcomes") -> "Outcomes":
         """Return what came on top of earlier outcomes."""
         rest = Outcomes(in_flight=self.in_flight)
         for key, tally in self.tallies.items():
--- a/src/pepperstep/rollouts/versions.py
+++ b/src/pepperstep/rollouts/versions.py
@@ -12,7 +12,7 @@
 
 # Time for which upstreams of a version that has just appeared wait, in seconds: they
 # may belong to a roll-out that this host hasn't heard of.
-_UNKNOWN_SECONDS = 3.0
+_NEW_VERSION_DELAY_SECONDS = 3.0
 _HASH_RANGE = 2.0**64
 
 
@@ -28,7 +28,7 @@
         self._is_judged = is_judged
         self._rollouts: dict[str, Rollout] = {}
         # When a version was first seen, by service.
-        self._seen: dict[str, dict[str, float]] = {}
+        self._first_seen: dict[str, dict[str, float]] = {}
         # Position in the log of the newest change that is known.
         self.index = 0
 
@@ -51,7 +51,7 @@
 
     def observe_upstream(self, upstream: Announcement) -> None:
         """Take in that an upstream of a version is there."""
-        versions = self._seen.setdefault(upstream.service, {})
+        versions = self._first_seen.setdefault(upstream.service, {})
         versions.setdefault(upstream.software, self._now())
 
     def is_new(self, upstream: Announcement) -> bool:
@@ -74,7 +74,7 @@
         """
         rollout = self._rollouts.get(service)
         if rollout is None:
-            return self._without_unknown(service, upstreams)
+            return self._exclude_recent_versions(service, upstreams)
         if rollout.state is RolloutState.SUCCEEDED:
             return [each for each in upstreams if each.software not in rollout.replaced]
         others = [each for each in upstreams if each.software != rollout.to]
@@ -82,11 +82,11 @@
             return others
         new = [each for each in upstreams if each.software == rollout.to]
         has_failed = any(each.key in tried for each in new)
-        if not new or has_failed or not self._draws_new(rollout, facts):
+        if not new or has_failed or not self._is_in_new_share(rollout, facts):
             return others
         return new
 
-    def _draws_new(self, rollout: Rollout, facts: RequestFacts) -> bool:
+    def _is_in_new_share(self, rollout: Rollout, facts: RequestFacts) -> bool:
         """Whether a request is among the new version's share.
 
         A session's requests are drawn alike, and stay while the share grows.
@@ -95,17 +95,17 @@
             return False
         name = facts.prompt_parts[-1].id if facts.prompt_parts else facts.attempt_id
         text = f"{rollout.service}/{rollout.number}/{name}"
-        drawn = xxhash.xxh64_intdigest(text.encode()) / _HASH_RANGE
-        return drawn < rollout.share
+        position = xxhash.xxh64_intdigest(text.encode()) / _HASH_RANGE
+        return position < rollout.share
 
-    def _without_unknown(
+    def _exclude_recent_versions(
         self, service: str, upstreams: list[Announcement]
     ) -> list[Announcement]:
-        versions = self._seen.get(service, {})
+        versions = self._first_seen.get(service, {})
         if len(versions) < 2:
             return upstreams
         first = min(versions.values())
-        limit = self._now() - _UNKNOWN_SECONDS
+        limit = self._now() - _NEW_VERSION_DELAY_SECONDS
         known = [
             each
             for each in upstreams
--- a/tests/rollouts/simulator.py
+++ b/tests/rollouts/simulator.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from pepperstep.rollouts.judgement import Verdict, judge
-from pepperstep.rollouts.outcomes import Outcomes, speed_class
+from pepperstep.rollouts.evaluation import Verdict, evaluate
+from pepperstep.rollouts.outcomes import Outcomes, latency_bucket
 from pepperstep.rollouts.plan import ExposureBound, Situation, next_move
 from pepperstep.rollouts.records import Rollout, RolloutState
 
@@ -122,7 +122,7 @@
             if seconds is None:
                 tally.failed += 1
             else:
-                tally.answered[speed_class(seconds)] += 1
+                tally.answered[latency_bucket(seconds)] += 1
         if not rollout.is_running:
             continue
         outcomes = known.of_new().total
@@ -131,7 +131,7 @@
             new_count=scene.new_count if time >= scene.boot else 0,
             old_count=scene.old_count,
             needed=0.5 * scene.old_count,
-            verdict=judge(known, before) if outcomes else Verdict(False),
+            verdict=evaluate(known, before) if outcomes else Verdict(False),
             rate=(outcomes + known.of_old().total) / time,
             outcomes=outcomes,
             outcomes_before=before.of_new().total,
--- a/tests/rollouts/test_judgement.py
+++ b/tests/rollouts/test_evaluation.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from pepperstep.rollouts.judgement import judge
+from pepperstep.rollouts.evaluation import evaluate
 from pepperstep.rollouts.outcomes import Outcomes
 from pepperstep.rollouts.records import RolloutState
 from tests.rollouts.simulator import Scene, play
@@ -120,9 +120,9 @@
     outcomes.tally("a", "").answered[10] = 100
     outcomes.tally("a", "n1").failed = 50
     outcomes.tally("a", "n2").answered[10] = 20
-    assert not judge(outcomes).is_bad
+    assert not evaluate(outcomes).is_bad
     outcomes.tally("a", "n2").failed = 20
-    assert judge(outcomes).is_bad
+    assert evaluate(outcomes).is_bad
 
 
 def test_version_that_turns_bad_by_its_load_is_found_in_spite_of_its_record():
@@ -134,8 +134,8 @@
     for number in range(10):
         outcomes.tally("a", f"n{number}").answered[10] += 2
         outcomes.tally("a", f"n{number}").failed = number % 3 != 0
-    assert not judge(outcomes).is_bad
-    assert judge(outcomes, before).is_bad
+    assert not evaluate(outcomes).is_bad
+    assert evaluate(outcomes, before).is_bad
 
 
 def test_bad_version_of_two_upstreams_is_never_let_in():
