--- a/src/pepperstep/routing/__init__.py
+++ b/src/pepperstep/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Chooses upstreams for requests, and limits what is taken on."""
+"""Load balancing, admission control, queueing and retries of requests."""
 
 from pepperstep.routing.explanations import Explanation
 from pepperstep.routing.placement import Placement
--- a/src/pepperstep/routing/admission.py
+++ b/src/pepperstep/routing/admission.py
@@ -1,4 +1,4 @@
-"""Refuses requests that would wait too long, before they are accepted."""
+"""Admission control: rejects requests that would wait too long."""
 
 import random
 from dataclasses import dataclass
@@ -14,18 +14,19 @@
 
 _NO_UPSTREAM_RETRY_SECONDS = 1.0
 _MIN_RETRY_SECONDS = 0.1
-# An accepted request that hasn't asked for its place after this never will.
+# An admitted request that has not been queued by then was abandoned.
 _ADMITTED_TIMEOUT_SECONDS = 2.0
 _JITTER = 0.5
-# Part of the places that higher classes leave at least.
+# Smallest share of the slots in flight that a class is assumed to get, however
+# many of them higher classes hold.
 _MIN_REMAINING_SHARE = 0.05
-# Answers after which their length is taken as known.
+# Answers after which their average length is used for predictions.
 _MIN_ANSWER_SAMPLES = 8
 
 
 @dataclass(frozen=True, slots=True)
 class Room:
-    """Whether places are free, and how many wait of a request's workspace."""
+    """Whether enough slots are free, and how many requests of a workspace wait."""
 
     is_enough: bool
     waiting: int
@@ -33,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Admitted:
-    """A request let in, when, and the wait predicted."""
+    """An admitted request with its admission time and predicted wait."""
 
     request: Request
     at: float
@@ -41,7 +42,7 @@
 
 
 class Admission:
-    """Decides on new requests by the work ahead of them and how it drains."""
+    """Admits new requests by the work queued ahead of them and its drain rate."""
 
     def __init__(
         self,
@@ -52,16 +53,16 @@
         self._settings = settings
         self._service_levels = service_levels
         self._rng = rng
-        # Requests let in that haven't asked for a place.
+        # Admitted requests that are not queued yet, oldest first.
         self._admitted: dict[str, _Admitted] = {}
 
     def admit(
         self, request: Request, pool: Pool, room: Room, remaining: float, now: float
     ) -> None:
-        """Count a request in until it asks for its place.
+        """Admit a request, and count it as waiting until it is queued.
 
-        `remaining` seconds are left until its deadline. Raise `Failure` if it
-        is not to be accepted.
+        `remaining` is the time until its deadline in seconds. Raise `Failure` with
+        `QUEUE_FULL` or `OVERLOADED` if the request is rejected.
         """
         wait = 0.0 if room.is_enough else self.predict_wait(pool, request)
         waiting = room.waiting + sum(
@@ -75,23 +76,23 @@
         self._admitted[request.id] = _Admitted(request, now, wait)
 
     def count_admitted(self, pool: Pool, now: float) -> int:
-        """Return how many that were let in haven't asked for a place yet."""
+        """Return the number of the pool's admitted requests not queued yet."""
         self._prune(now)
         return sum(
             pool_key(each.request) == pool.key for each in self._admitted.values()
         )
 
     def pop_predicted_wait(self, request: Request) -> float:
-        """Return the wait predicted for a request, which asks for its place."""
+        """Return the wait predicted at admission, as the request is queued."""
         admitted = self._admitted.pop(request.id, None)
         return 0.0 if admitted is None else admitted.wait
 
     def predict_wait(self, pool: Pool, request: Request) -> float:
-        """Return the seconds until a request would start, by the present drain.
+        """Return the predicted seconds until a request starts.
 
-        By Little's law places free at the rate of those held over the time
-        that each is held; those that higher classes hold now will be theirs
-        meanwhile.
+        By Little's law, slots become free at the rate of slots in flight divided
+        by their hold time. Slots that higher classes hold are expected to go to
+        those classes again and are not counted.
         """
 
         def hold_time_of(priority: Priority) -> float:
@@ -136,7 +137,7 @@
         )
 
     def _jittered_retry_after(self, seconds: float) -> float:
-        """Return a time to come back, spread so that not all come at once."""
+        """Return the seconds to retry after, with jitter to spread the retries."""
         jitter = 1 + _JITTER * self._rng.random()
         return max(_MIN_RETRY_SECONDS, seconds) * jitter
 
@@ -152,9 +153,10 @@
 
 
 def latest_start(request: Request, pool: Pool, left_tokens: int) -> float:
-    """Return the Unix time after which the deadline surely can't be met.
+    """Return the Unix time after which an attempt can't meet its deadline.
 
-    Only lengths that answers have rarely fallen below are counted on.
+    The answer is assumed to be two deviations shorter than the average, a
+    length that answers rarely fall below.
     """
     shares = pool.answer_shares[request.priority]
     if shares.count < _MIN_ANSWER_SAMPLES:
--- a/src/pepperstep/routing/averages.py
+++ b/src/pepperstep/routing/averages.py
@@ -1,22 +1,22 @@
-"""Small running figures: averages, fading averages and minima."""
+"""Running statistics: moving and decaying averages, windowed minima."""
 
 __all__ = ["MovingAverage", "DecayingAverage", "WindowedMinimum"]
 
 
 class MovingAverage:
-    """Average that weighs the newest values most; plain for the first few."""
+    """Exponentially weighted average; a plain mean for the first few values."""
 
     __slots__ = ("count", "deviation", "value", "_weight")
 
     def __init__(self, weight: float = 0.1, initial: float = 0.0):
         self.value = initial
-        # Mean absolute distance of the values from the average.
+        # Weighted mean absolute deviation from the average.
         self.deviation = 0.0
         self.count = 0
         self._weight = weight
 
     def add(self, value: float) -> None:
-        """Take a value in."""
+        """Add a value."""
         self.count += 1
         weight = max(self._weight, 1 / self.count)
         difference = value - self.value
@@ -26,7 +26,7 @@
 
 
 class DecayingAverage:
-    """Average that falls to zero when no values come."""
+    """Exponentially weighted average that decays to zero between values."""
 
     __slots__ = ("_updated_at", "_half_life", "_value", "_weight")
 
@@ -37,19 +37,19 @@
         self._updated_at = 0.0
 
     def add(self, value: float, now: float) -> None:
-        """Take a value in."""
+        """Add a value at time `now`."""
         self._value = self.at(now) * (1 - self._weight) + value * self._weight
         self._updated_at = now
 
     def at(self, now: float) -> float:
-        """Return the average at a time."""
+        """Return the average decayed to time `now`."""
         if self._value == 0.0:
             return 0.0
         return self._value * 0.5 ** ((now - self._updated_at) / self._half_life)
 
 
 class WindowedMinimum:
-    """Least value of the last one to two windows."""
+    """Minimum of the current and the previous window."""
 
     __slots__ = ("_current", "_previous", "_started_at", "_window")
 
@@ -60,7 +60,7 @@
         self._current = float("inf")
 
     def add(self, value: float, now: float) -> float:
-        """Take a value in and return the least one."""
+        """Add a value and return the minimum."""
         if now - self._started_at > self._window:
             self._previous = self._current
             self._current = float("inf")
--- a/src/pepperstep/routing/breakers.py
+++ b/src/pepperstep/routing/breakers.py
@@ -1,4 +1,4 @@
-"""Ejects upstreams that fail or are slow, and lets them return."""
+"""Circuit breakers that eject failing or slow upstreams and let them recover."""
 
 import enum
 from collections.abc import Callable, Sequence
@@ -9,38 +9,38 @@
 
 
 class BreakerState(enum.StrEnum):
-    """Whether an upstream is trusted with requests."""
+    """Whether an upstream receives requests."""
 
     HEALTHY = "healthy"
     EJECTED = "ejected"
-    # Gets one request at a time, which decides.
+    # Receives one probe request at a time, whose result decides.
     RECOVERING = "recovering"
 
 
 class Breaker:
-    """State of one upstream; a policy decides on it after each attempt."""
+    """Circuit breaker of one upstream; a policy updates it after each attempt."""
 
     def __init__(self, settings: RoutingSettings):
         self.settings = settings
         self.state = BreakerState.HEALTHY
         self.ejected_at = 0.0
         self.ejections = 0
-        # Failures in a row while healthy.
+        # Consecutive failures.
         self.failures = 0
-        # Requests in flight that test a recovering upstream.
+        # Probe requests in flight to a recovering upstream.
         self.probes = 0
         self._backoff = settings.ejection_base
         self._return_at = 0.0
         self._healthy_since = 0.0
 
     def refresh(self, now: float) -> BreakerState:
-        """Return the state, which turns to recovering once the time is over."""
+        """Return the state, after turning an expired ejection into recovery."""
         if self.state is BreakerState.EJECTED and now >= self._return_at:
             self.state = BreakerState.RECOVERING
         return self.state
 
     def eject(self, now: float) -> None:
-        """Eject for a time that doubles with each ejection that follows soon."""
+        """Eject the upstream; the duration doubles with each ejection soon after."""
         is_healthy = self.state is BreakerState.HEALTHY
         if is_healthy and now - self._healthy_since > 2 * self._backoff:
             self._backoff = self.settings.ejection_base
@@ -52,7 +52,7 @@
         self.failures = 0
 
     def restore(self, now: float) -> None:
-        """End an ejection."""
+        """End an ejection after a successful probe."""
         self.state = BreakerState.HEALTHY
         self._healthy_since = now
         self.failures = 0
@@ -66,7 +66,7 @@
 
 
 def count_consecutive(breaker: Breaker, is_success: bool, now: float) -> None:
-    """Eject after some failures in a row; one success ends it."""
+    """Eject after consecutive failures or a failed probe; a success restores."""
     if is_success:
         breaker.failures = 0
         if breaker.state is BreakerState.RECOVERING:
@@ -90,10 +90,10 @@
 def limit_ejected(
     breakers: Sequence[Breaker], now: float, max_ejected_share: float
 ) -> set[Breaker]:
-    """Return the breakers whose upstreams get nothing, or only probes.
+    """Return the breakers whose upstreams get no requests but probes.
 
-    Those ejected last count as healthy where more than the share are, so at
-    least one of several can be ejected and never all.
+    The number is limited to `max_ejected_share` of all, but to no less than one and
+    never all; upstreams ejected last beyond that limit count as healthy.
     """
     unhealthy = [
         each for each in breakers if each.refresh(now) is not BreakerState.HEALTHY
--- a/src/pepperstep/routing/candidates.py
+++ b/src/pepperstep/routing/candidates.py
@@ -1,4 +1,4 @@
-"""The upstreams that an attempt may go to, looked at only as far as needed."""
+"""The upstreams that an attempt may use, checked lazily."""
 
 from collections.abc import Callable, Collection, Sequence
 from random import Random
@@ -7,12 +7,12 @@
 
 __all__ = ["Candidates"]
 
-# Draws for each one wanted before all are looked at.
+# Random draws per wanted candidate before all members are checked.
 _DRAWS_PER_CANDIDATE = 3
 
 
 class Candidates:
-    """Members of a pool that are usable for one attempt."""
+    """The members of a pool that are usable for one attempt."""
 
     __slots__ = ("_by_name", "_is_usable", "_members")
 
@@ -27,11 +27,11 @@
         self._is_usable = is_usable
 
     def list_all(self) -> list[TrackedUpstream]:
-        """Return all."""
+        """Return all usable members."""
         return [each for each in self._members if self._is_usable(each)]
 
     def draw(self, number: int, rng: Random) -> list[TrackedUpstream]:
-        """Return up to `number` different ones, drawn at random."""
+        """Return up to `number` distinct usable members, drawn at random."""
         members = self._members
         if len(members) <= _DRAWS_PER_CANDIDATE * number:
             return self._draw_from_all(number, rng)
@@ -45,7 +45,7 @@
         return self._draw_from_all(number, rng)
 
     def find(self, names: Collection[str]) -> list[TrackedUpstream]:
-        """Return those with these names."""
+        """Return the usable members with the given names."""
         found = [self._by_name[name] for name in names if name in self._by_name]
         return [each for each in found if self._is_usable(each)]
 
--- a/src/pepperstep/routing/dispatch.py
+++ b/src/pepperstep/routing/dispatch.py
@@ -1,4 +1,4 @@
-"""Starts waiting attempts as places become free."""
+"""Starts waiting attempts as upstream slots become free."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -23,7 +23,7 @@
 
 
 class Dispatcher:
-    """Places of this host on all upstreams, and the attempts that wait."""
+    """Assigns this host's waiting attempts to upstreams within all limits."""
 
     def __init__(
         self,
@@ -48,27 +48,27 @@
         self._in_flight: Counter[str] = Counter()
         self._in_flight_total = 0
         self._waiting: Counter[str] = Counter()
-        # The one of the waiting that looks for changes each period.
+        # Waiter that polls for changed upstreams on behalf of all waiters.
         self._poller: Waiter | None = None
 
     @property
     def in_flight(self) -> int:
-        """Attempts in flight at this host."""
+        """Number of attempts in flight at this host."""
         return self._in_flight_total
 
     @property
     def host_limit(self) -> float:
-        """Attempts that may be in flight at this host."""
+        """Number of attempts that may be in flight at this host."""
         return self._host_limit.value
 
     def record_timer_delay(self, delay: float, now: float) -> None:
-        """Adapt the host's limit to how late its timers are, in seconds."""
+        """Adapt the host's limit to its timer delay in seconds."""
         is_limited = self.in_flight >= 0.8 * self._host_limit.value
         sample = LatencySample(delay, 0.0, self._settings.host_delay, is_limited)
         self._host_limit.update(sample, 1.0, now)
 
     def check_room(self, request: Request, pool: Pool, wanted: int, now: float) -> Room:
-        """Return whether `wanted` new requests like this one could start now."""
+        """Return whether `wanted` new requests like `request` could start now."""
         waiting = self._waiting[request.workspace]
         is_first = pool.queue.is_empty_for(request)
         if not is_first or not self._is_below_limits(request):
@@ -83,7 +83,7 @@
         return Room(False, waiting)
 
     async def wait(self, waiter: Waiter, pool: Pool) -> Placement:
-        """Return the waiter's placement; raise its failure if it gets none."""
+        """Queue a waiter and return its placement, or raise its failure."""
         self._add(waiter, pool)
         try:
             while not waiter.is_settled:
@@ -96,7 +96,7 @@
         return waiter.result
 
     def start_waiters(self) -> None:
-        """Start all that can start in any pool, and answer those too late."""
+        """Start all attempts that can start, and fail those that are too late."""
         now = self._timers.now()
         for pool in self._pools:
             if len(pool.queue):
@@ -127,7 +127,7 @@
                 self._hand_over_polling()
 
     def _hand_over_polling(self) -> None:
-        """Let another of the waiting look for changes."""
+        """Wake one remaining waiter, which becomes the poller."""
         self._poller = None
         for pool in self._pools:
             for waiter in pool.queue.heads():
@@ -166,7 +166,7 @@
 
     def _start_one(self, pool: Pool, now: float) -> bool:
         ejected = self._ejected(pool, now)
-        # Classes for which there is no place whatever the upstream.
+        # Priority classes that no upstream has a slot for.
         full_classes: set[Priority] = set()
         for waiter in pool.queue.heads():
             request = waiter.work.request
@@ -214,7 +214,7 @@
     def _find_probe(
         self, waiter: Waiter, pool: Pool, ejected: set[Breaker], share: float
     ) -> TrackedUpstream | None:
-        """Return an upstream that a request may test; later attempts don't."""
+        """Return a recovering upstream to probe; only first attempts may probe."""
         if waiter.attempt > 1 or not waiter.work.request.is_repeatable:
             return None
         for tracked in pool.members:
@@ -228,7 +228,7 @@
     def _find_candidates(
         self, waiter: Waiter, pool: Pool, ejected: set[Breaker], share: float
     ) -> Candidates:
-        """Leave out the ejected, and the excluded unless there is no other."""
+        """Return the upstreams not ejected; excluded ones only if no other is left."""
         excluded = waiter.excluded
         if not excluded and not ejected:
             return Candidates(
--- a/src/pepperstep/routing/explanations.py
+++ b/src/pepperstep/routing/explanations.py
@@ -1,4 +1,4 @@
-"""Why requests were placed where they were."""
+"""Records of routing decisions, kept to explain them to operators."""
 
 from collections import OrderedDict
 from dataclasses import dataclass
@@ -10,34 +10,35 @@
 
 @dataclass(frozen=True, slots=True)
 class Explanation:
-    """One attempt's placement."""
+    """The routing decision for one attempt."""
 
     request_id: str
     attempt: int
     upstream: str
-    # Unix time, and seconds waited before it.
+    # Unix time.
     placed_at: float
+    # Seconds in the queue.
     waited: float
     policy: str
     reason: str
-    # Why there was an earlier attempt to follow, "" for a first one.
+    # Cause of the retry, "" for a first attempt.
     retry_cause: str
     considered: tuple[Prediction, ...]
 
 
 class Explanations:
-    """The last placements, by request."""
+    """The latest routing decisions by request."""
 
     def __init__(self, size: int):
         self._size = size
         self._by_request: OrderedDict[str, list[Explanation]] = OrderedDict()
 
     def add(self, explanation: Explanation) -> None:
-        """Keep one, and drop the oldest request's if there are too many."""
+        """Add a decision; evict the oldest request beyond the size."""
         self._by_request.setdefault(explanation.request_id, []).append(explanation)
         if len(self._by_request) > self._size:
             self._by_request.popitem(last=False)
 
     def find(self, request_id: str) -> list[Explanation]:
-        """Return a request's placements in their order."""
+        """Return the decisions for a request, oldest first."""
         return list(self._by_request.get(request_id, ()))
--- a/src/pepperstep/routing/feedback.py
+++ b/src/pepperstep/routing/feedback.py
@@ -1,4 +1,4 @@
-"""What attempts teach about their upstreams."""
+"""Updates limits, breakers and statistics of upstreams from attempts."""
 
 from typing import TYPE_CHECKING
 
@@ -13,16 +13,16 @@
 
 __all__ = ["Feedback"]
 
-# Part of a limit from which on more would be of use.
+# Share of a limit in use from which a higher limit would be used.
 _NEAR_LIMIT_SHARE = 0.8
-# Part of the first token's target that may go to queueing at the upstream.
+# Share of the first-token target that queueing at the upstream may take.
 _QUEUEING_TARGET_SHARE = 0.5
-# A time between tokens above the least one by this may be the batch's size.
+# Factor above the least time between tokens that batching alone may explain.
 _GAP_TOLERANCE = 1.1
 
 
 class Feedback:
-    """Feeds limits, breakers and averages with the course of attempts."""
+    """Updates limits, breakers and averages as attempts progress."""
 
     def __init__(self, settings: RoutingSettings, prefixes: PrefixIndex):
         self._settings = settings
@@ -30,7 +30,7 @@
         self._prefixes = prefixes
 
     def record_first_token(self, placement: "Placement", now: float) -> None:
-        """Note the time to an attempt's first token."""
+        """Record the time to an attempt's first token."""
         tracked = placement.tracked
         load = placement.upstream.load
         measured = now - placement.started_at
@@ -46,26 +46,26 @@
         expected = unloaded + tracked.least_overhead.add(overhead, now)
         slack = _QUEUEING_TARGET_SHARE * placement.targets.first_token
         self._adapt_limit(placement, measured, expected, slack, now)
-        typical, _ = placement.pool.typical(now)
+        typical, _ = placement.pool.lower_quartiles(now)
         self._compare_with_pool(
             placement, overhead, typical, self._settings.slow_seconds, now
         )
 
     def record_gap(self, placement: "Placement", gap: float, now: float) -> None:
-        """Note the time between tokens over some of them."""
+        """Record a mean time between tokens."""
         tracked = placement.tracked
         tracked.gap.add(gap)
         minimum = tracked.least_gap.add(gap, now) * _GAP_TOLERANCE
         target = placement.targets.between_tokens
         expected = max(target, minimum) / self._settings.limit_tolerance
         self._adapt_limit(placement, gap, expected, 0.0, now)
-        _, typical = placement.pool.typical(now)
+        _, typical = placement.pool.lower_quartiles(now)
         self._compare_with_pool(placement, gap, typical, target, now)
 
     def record_answer(
         self, placement: "Placement", mark: EndMark | None, now: float
     ) -> None:
-        """Note a whole answer; `mark` is None for a plain service's."""
+        """Record a complete answer; `mark` is None for a plain service's."""
         tracked = placement.tracked
         held = now - placement.started_at
         tracked.record_liveness(placement.started_at, now)
@@ -82,7 +82,7 @@
             self._record_result(tracked.breaker, True, now)
 
     def record_refusal(self, placement: "Placement", is_busy: bool, now: float) -> None:
-        """Note a refusal, which is no fault if the upstream is only busy."""
+        """Record a refusal, which counts as a failure unless the upstream is busy."""
         if not is_busy:
             self.record_loss(placement, now)
             return
@@ -90,7 +90,7 @@
         self._adapt_limit(placement, 1.0, 0.0, 0.0, now)
 
     def record_loss(self, placement: "Placement", now: float) -> None:
-        """Note an attempt that failed."""
+        """Record a failed attempt."""
         tracked = placement.tracked
         tracked.record_failure(now)
         tracked.failures.add(1.0, now)
@@ -117,7 +117,7 @@
         minimum: float,
         now: float,
     ) -> None:
-        """Count an attempt as failed that is slow next to the other upstreams."""
+        """Count an attempt as failed if it is slow compared to other upstreams."""
         if placement.is_slow or typical == 0.0 and minimum == 0.0:
             return
         if measured > max(minimum, self._settings.slow_factor * typical):
--- a/src/pepperstep/routing/limits.py
+++ b/src/pepperstep/routing/limits.py
@@ -1,4 +1,4 @@
-"""Limits on attempts in flight, fixed or adapted to measured latency."""
+"""Concurrency limits, fixed or adapted to measured latency."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -12,13 +12,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LatencySample:
-    """A measured latency against what it would be without queueing."""
+    """A measured latency and the latency expected without queueing, in seconds."""
 
     measured: float
     expected: float
-    # Measured latency may be this much above before it counts as queueing.
+    # Latency above the tolerated one that does not count as queueing yet.
     slack: float = 0.0
-    # Whether the limit was nearly reached, so that more could be of use.
+    # Whether the limit was nearly reached, so that a higher one would be used.
     is_limited: bool = True
 
 
@@ -26,12 +26,12 @@
 
 
 def keep_fixed(limit: float, sample: LatencySample, tolerance: float) -> float:
-    """Return the same limit."""
+    """Keep the limit."""
     return limit
 
 
 def adapt_aimd(limit: float, sample: LatencySample, tolerance: float) -> float:
-    """Return one more a round, or a tenth less where the latency is high."""
+    """Increase by one per round of samples, or decrease by a tenth if slow."""
     if sample.measured > sample.expected * tolerance + sample.slack:
         return limit * _DECREASE_FACTOR
     return limit + 1 / limit if sample.is_limited else limit
@@ -44,7 +44,7 @@
 
 
 class AdaptiveLimit:
-    """A limit between two bounds, lowered at most once a period."""
+    """A limit between two bounds, decreased at most once per period."""
 
     __slots__ = (
         "_maximum",
@@ -67,19 +67,22 @@
 
     @classmethod
     def from_slots(cls, slots: int, settings: RoutingSettings) -> "AdaptiveLimit":
-        """Return an upstream's limit, which starts at its slots."""
+        """Return an upstream's limit, which starts at its number of slots."""
         minimum = max(1.0, settings.min_limit_share * slots)
         return cls(LIMITS[settings.limit], minimum, slots, settings.limit_period)
 
     @classmethod
     def from_host(cls, settings: RoutingSettings) -> "AdaptiveLimit":
-        """Return this host's limit."""
+        """Return the limit on all attempts of this host."""
         maximum = settings.max_host_in_flight
         minimum = min(settings.min_host_in_flight, maximum)
         return cls(LIMITS[settings.host_limit], minimum, maximum, settings.limit_period)
 
     def update(self, sample: LatencySample, tolerance: float, now: float) -> None:
-        """Adapt to a sample; those of attempts begun before a cut are kept out."""
+        """Adapt to a sample; only one decrease per period takes effect.
+
+        Samples soon after a decrease come from attempts started before it.
+        """
         value = self._policy(self.value, sample, tolerance)
         value = max(self._minimum, min(self._maximum, value))
         if value < self.value:
--- a/src/pepperstep/routing/placement.py
+++ b/src/pepperstep/routing/placement.py
@@ -1,4 +1,4 @@
-"""One attempt's place on an upstream."""
+"""The slot of an upstream that one attempt occupies."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -14,25 +14,26 @@
 
 __all__ = ["AttemptFailure", "Placement"]
 
-# Tokens over which the time between tokens is a mean.
+# Number of tokens over which the time between tokens is averaged.
 _GAP_TOKENS = 16
-# An attempt cut off after this long a silence counts as failed.
+# A cancelled attempt counts as failed if its upstream was silent for at least
+# this long; the time allowed also grows with the predicted first token.
 _STALL_SECONDS = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptFailure:
-    """How an attempt failed, kept until the request's next one."""
+    """How an attempt failed; kept until the request's next attempt."""
 
     upstream: str
     epoch: int
     is_refused: bool = False
-    # Whether the upstream said that it is only busy.
+    # Whether the upstream refused with a time to retry after, so is only busy.
     is_busy: bool = False
 
 
 class Placement:
-    """One attempt's place on an upstream, given back at the end of its block."""
+    """A slot held by one attempt; a context manager that releases it on exit."""
 
     def __init__(
         self,
@@ -49,9 +50,11 @@
         self.waiter = waiter
         self.failure: AttemptFailure | None = None
         self.started_at = timers.now()
-        # Tokens that it was thought to prefill, and the whole prediction.
+        # Tokens predicted to need prefill.
         self.uncached_tokens = float(waiter.work.tokens)
+        # Prompt blocks predicted to be in the prefix cache.
         self.expected_blocks = 0.0
+        # Predicted seconds to the first token, without the penalty for history.
         self.predicted: float | None = None
         self.targets = Targets()
         self.is_slow = False
@@ -74,7 +77,7 @@
         self._on_release(self)
 
     def record_tokens(self, count: int) -> None:
-        """Note that tokens arrived."""
+        """Record the arrival of tokens."""
         now = self._timers.now()
         if not self._tokens:
             self._end_prefill()
@@ -91,12 +94,12 @@
             self._gap_tokens = 0
 
     def record_answer(self, mark: EndMark | None = None) -> None:
-        """Note that the answer is whole."""
+        """Record that the answer is complete."""
         self._is_recorded = True
         self._feedback.record_answer(self, mark, self._timers.now())
 
     def record_refusal(self, retry_after: float | None) -> None:
-        """Note that the upstream refused the attempt, which didn't run."""
+        """Record that the upstream refused the attempt, which did not run."""
         self._is_recorded = True
         is_busy = retry_after is not None
         self.failure = AttemptFailure(
@@ -105,18 +108,18 @@
         self._feedback.record_refusal(self, is_busy, self._timers.now())
 
     def record_loss(self) -> None:
-        """Note that the connection broke or the answer was damaged."""
+        """Record that the connection broke or the answer was damaged."""
         self._is_recorded = True
         self.failure = AttemptFailure(self.upstream.name, self.upstream.epoch)
         self._feedback.record_loss(self, self._timers.now())
 
     def release(self) -> None:
-        """Give back a place that no attempt was started at."""
+        """Release a slot on which no attempt was started."""
         self._is_recorded = True
         self._on_release(self)
 
     def end(self, now: float) -> None:
-        """Take the attempt out of its upstream's counts."""
+        """Remove the attempt from its upstream's counts."""
         if not self._tokens:
             self._end_prefill()
         if self.is_probe:
@@ -127,7 +130,12 @@
         self.tracked.pending_tokens -= round(self.uncached_tokens)
 
     def _infer_outcome(self, is_whole: bool) -> None:
-        """Tell an answered call of a service from a stalled or cancelled attempt."""
+        """Record an outcome that the caller did not record.
+
+        A block that ends without an error is an answered call of a service. An
+        attempt cut off while its upstream was silent is a failure; any other is a
+        cancellation and counts neither way.
+        """
         now = self._timers.now()
         if is_whole:
             self._feedback.record_answer(self, None, now)
--- a/src/pepperstep/routing/pools.py
+++ b/src/pepperstep/routing/pools.py
@@ -1,4 +1,4 @@
-"""Upstreams by what they serve, kept up to date with this host's view."""
+"""Pools of upstreams that serve the same requests, synced with the registry."""
 
 from collections.abc import Callable, Hashable, Iterable
 from typing import Protocol
@@ -14,57 +14,58 @@
 __all__ = ["Pool", "Pools", "UpstreamView"]
 
 _INITIAL_TOKENS_PER_CHARACTER = 0.25
-# Predicted waits from which on errors are learned, and the largest error.
+# Shortest predicted wait whose error corrects later predictions.
 _MIN_LEARNED_WAIT_SECONDS = 0.1
 _MAX_WAIT_ERROR = 4.0
 
 
 class UpstreamView(Protocol):
-    """Upstreams that live and take new work, as this host knows them."""
+    """The live upstreams that this host knows and that accept work."""
 
     def candidates(self) -> Iterable[Upstream]:
-        """Return the upstreams with a lease that aren't leaving."""
+        """Return the upstreams that hold a lease and aren't leaving."""
 
 
 class Pool:
-    """All upstreams that serve one model key or service, and its queue."""
+    """The upstreams that serve one model key or service, and its queue."""
 
     def __init__(self, key: Hashable, queue: FairQueue):
         self.key = key
         self.queue = queue
         self.members: list[TrackedUpstream] = []
         self.by_name: dict[str, TrackedUpstream] = {}
-        # Seconds to prefill a token and for a decode step, at the fastest member.
+        # Seconds per prefilled token and per decode step of the fastest member.
         self.prefill_seconds = 0.0
         self.decode_seconds = 0.0
-        # Attempts of this host in flight for requests of the pool.
+        # This host's attempts in flight, in all and by priority class.
         self.in_flight = 0
         self.class_in_flight = [0 for _ in Priority]
-        # Seconds that an attempt holds its place, by class, and for all.
+        # Seconds that an attempt holds its slot, by priority class and overall.
         self.hold_times = [MovingAverage() for _ in Priority]
         self.hold_time = MovingAverage()
         # Seconds from dispatch to the first token.
         self.first_token = MovingAverage()
-        # Tokens generated as a share of the most that were asked for, by class.
+        # Generated tokens as a share of max_tokens, by priority class.
         self.answer_shares = [MovingAverage(0.05, initial=0.5) for _ in Priority]
         self.tokens_per_character = MovingAverage(
             0.05, initial=_INITIAL_TOKENS_PER_CHARACTER
         )
-        # Waits as a multiple of what was predicted, by class.
+        # Actual waits as a multiple of predicted ones, by priority class.
         self.wait_errors = [MovingAverage(0.002, initial=1.0) for _ in Priority]
-        # When each class was last asked for.
+        # Time of the last request of each priority class.
         self.last_request_at = [float("-inf") for _ in Priority]
-        self._typical = (float("-inf"), 0.0, 0.0)
+        # Time of computation and result of `lower_quartiles`.
+        self._quartiles = (float("-inf"), 0.0, 0.0)
 
     def share_of(self, priority: Priority, now: float, settings) -> float:
-        """Return the share of places that a class may take now."""
+        """Return the share of an upstream's limit that a class may use."""
         above = max(self.last_request_at[:priority], default=float("-inf"))
         is_above_used = now - above < settings.class_seconds
         share = settings.class_shares[priority]
         return share if is_above_used else max(1.0, share)
 
     def set_members(self, members: list[TrackedUpstream]) -> None:
-        """Take the upstreams that serve the key now."""
+        """Replace the upstreams that serve the pool's key."""
         self.members = members
         self.by_name = {each.upstream.name: each for each in members}
         loads = [each.upstream.load for each in members]
@@ -73,24 +74,24 @@
             self.decode_seconds = min(load.decode_seconds for load in loads)
 
     def record_wait(self, waiter: Waiter, now: float) -> None:
-        """Learn from a wait that has ended how far the prediction was off."""
+        """Correct future predictions by the error of a wait that has ended."""
         if waiter.predicted_wait > _MIN_LEARNED_WAIT_SECONDS:
             error = (now - waiter.queued_at) / waiter.predicted_wait
             errors = self.wait_errors[waiter.work.request.priority]
             errors.add(min(_MAX_WAIT_ERROR, error * errors.value))
 
-    def typical(self, now: float) -> tuple[float, float]:
-        """Return the lower quartiles of the members' overheads and gaps."""
-        computed_at, overhead, gap = self._typical
+    def lower_quartiles(self, now: float) -> tuple[float, float]:
+        """Return the lower quartiles of the members' overheads and token gaps."""
+        computed_at, overhead, gap = self._quartiles
         if now - computed_at > 0.5:
             overhead = _lower_quartile(each.overhead for each in self.members)
             gap = _lower_quartile(each.gap for each in self.members)
-            self._typical = (now, overhead, gap)
+            self._quartiles = (now, overhead, gap)
         return overhead, gap
 
 
 class Pools:
-    """All pools of this host."""
+    """The pools of this host by key, synced with its view of the upstreams."""
 
     def __init__(
         self,
@@ -118,7 +119,7 @@
         return list(self._tracked.values())
 
     def get(self, key: Hashable, now: float) -> Pool:
-        """Return the pool of a key, brought up to date."""
+        """Return the pool of a key after syncing it."""
         self.sync(now)
         pool = self._pools.get(key)
         if pool is None or not pool.members:
@@ -129,14 +130,14 @@
         return pool
 
     def find(self, name: str, epoch: int) -> TrackedUpstream | None:
-        """Return an upstream if this start of it is in the view."""
+        """Return the upstream in the view if its epoch is `epoch`."""
         tracked = self._tracked.get(name)
         if tracked is None or tracked.upstream.epoch != epoch:
             return None
         return tracked
 
     def sync(self, now: float, max_age: float | None = None) -> None:
-        """Bring all pools up to date, if they are older than some seconds."""
+        """Sync all pools with the view if they are older than `max_age` seconds."""
         if max_age is None:
             max_age = self._settings.view_period
         if now - self._synced_at >= max_age:
--- a/src/pepperstep/routing/prediction.py
+++ b/src/pepperstep/routing/prediction.py
@@ -1,4 +1,4 @@
-"""Predicts the time to the first token on each candidate."""
+"""Policies that choose an upstream, and the prediction of its first token."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -15,18 +15,23 @@
 
 __all__ = ["CHOICES", "Choice", "ChoiceContext", "Chooser", "Prediction"]
 
+# Hold time assumed until an upstream has answered an attempt.
 _DEFAULT_HOLD_SECONDS = 1.0
-# Upstreams that hold the prefix, besides the drawn ones.
+# Upstreams considered because they hold the prefix, besides the drawn ones.
 _MAX_HOLDERS = 2
 _total_of = attrgetter("total")
 
 
 @dataclass(slots=True)
 class Prediction:
-    """Parts of the predicted time to the first token, in seconds."""
+    """Parts of the predicted time to the first token, in seconds.
+
+    `history` is a penalty for late or failed attempts, `role` one for an engine
+    whose role does not fit the work.
+    """
 
     upstream: str
-    # Attempts believed to be there.
+    # Estimated attempts on the upstream, from all hosts.
     total: int
     cached_tokens: float
     wait: float
@@ -37,13 +42,13 @@
 
     @property
     def seconds(self) -> float:
-        """The whole time."""
+        """The sum of all parts."""
         return self.wait + self.prefill + self.distance + self.history + self.role
 
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """The chosen upstream and why."""
+    """The chosen upstream and the reason for the choice."""
 
     chosen: TrackedUpstream
     reason: str
@@ -52,7 +57,7 @@
 
 @dataclass(slots=True)
 class ChoiceContext:
-    """What all choices of a host share."""
+    """State that all choices of a host share."""
 
     settings: RoutingSettings
     rng: Random
@@ -68,10 +73,10 @@
 def choose_predicted(
     candidates: Candidates, work: WorkEstimate, context: ChoiceContext, now: float
 ) -> Choice | None:
-    """Choose the least predicted time among a few and the prefix's best.
+    """Choose the least predicted time among random upstreams and prefix holders.
 
-    Few, since the reports are late: all hosts that look at all upstreams would
-    choose the same one until the next report.
+    Load reports arrive late. If every host compared all upstreams, all hosts
+    would choose the same one until the next report.
     """
     drawn = candidates.draw(context.settings.choices, context.rng)
     if not drawn:
@@ -89,7 +94,7 @@
 def choose_least_in_flight(
     candidates: Candidates, work: WorkEstimate, context: ChoiceContext, now: float
 ) -> Choice | None:
-    """Choose the upstream with the least in flight from this host."""
+    """Choose the upstream with the fewest attempts in flight from this host."""
     usable = candidates.list_all()
     if not usable:
         return None
@@ -99,7 +104,7 @@
 def choose_round_robin(
     candidates: Candidates, work: WorkEstimate, context: ChoiceContext, now: float
 ) -> Choice | None:
-    """Choose one upstream after the other."""
+    """Choose the upstreams in turn."""
     usable = candidates.list_all()
     if not usable:
         return None
@@ -109,7 +114,7 @@
 def choose_random(
     candidates: Candidates, work: WorkEstimate, context: ChoiceContext, now: float
 ) -> Choice | None:
-    """Choose any upstream."""
+    """Choose a random upstream."""
     drawn = candidates.draw(1, context.rng)
     return Choice(drawn[0], "random") if drawn else None
 
@@ -152,7 +157,7 @@
 def _predict_wait(
     tracked: TrackedUpstream, work: WorkEstimate, settings: RoutingSettings
 ) -> float:
-    """Return the time until a place is free and the batch takes the request in."""
+    """Return the seconds until a slot is free and the batch admits the request."""
     load = tracked.upstream.load
     slots = max(1, tracked.upstream.slots)
     total = tracked.total
@@ -161,7 +166,7 @@
     )
     if not work.is_engine_work:
         return (total + 1) * hold_time / slots
-    # The fuller the batch, the longer its present step and its prefills.
+    # A fuller batch has longer decode steps and more prefills to share with.
     wait = load.decode_seconds * total / slots
     wait += tracked.pending_tokens * load.prefill_seconds * settings.prefill_sharing
     if total >= slots:
--- a/src/pepperstep/routing/prefixes.py
+++ b/src/pepperstep/routing/prefixes.py
@@ -1,4 +1,4 @@
-"""What this host believes to be in the engines' prefix caches."""
+"""Estimates of the contents of the engines' prefix caches."""
 
 from collections import OrderedDict
 from collections.abc import Sequence
@@ -13,13 +13,13 @@
 BLOCK_BYTES = 256
 
 _MAX_HOLDERS = 4
-# What remains of a belief after events were missed.
+# Confidence left in blocks seen before cache events were missed.
 _MISSED_EVENTS_FACTOR = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class CacheEvent:
-    """Blocks that an engine has stored in its cache, or dropped from it.
+    """Blocks that an engine has added to its prefix cache or evicted from it.
 
     `sequence` grows by one with each event of an upstream's epoch.
     """
@@ -32,7 +32,7 @@
 
 
 def hash_blocks(prompt: str) -> list[int]:
-    """Return a hash for each whole block, which stands for all before it too."""
+    """Return a hash for each whole block, chained over all blocks before it."""
     data = prompt.encode()
     hashes = []
     digest = 0
@@ -44,25 +44,27 @@
 
 
 class _CacheEstimate:
-    """Blocks of one upstream with the time of the last sign of each."""
+    """Estimated cache contents of one upstream."""
 
     __slots__ = ("blocks", "epoch", "gap_at", "sequence", "hit_ratio")
 
     def __init__(self):
+        # Time at which each block was last seen, least recently used first.
         self.blocks: OrderedDict[int, float] = OrderedDict()
         self.epoch = 0
         self.sequence = 0
-        # Time at which missed events were noticed.
+        # Time before which blocks may have been evicted by missed events.
         self.gap_at = float("-inf")
-        # Share of the expected blocks that were found.
+        # Share of the expected blocks that the engine found in its cache.
         self.hit_ratio = MovingAverage(0.1, 1.0)
 
 
 class PrefixIndex:
-    """Beliefs from own placements and cache events, which fade.
+    """Estimates cache contents from this host's placements and cache events.
 
-    A block's hash covers those before it, and blocks are touched from the last
-    to the first, so the blocks known of a prompt are always its first ones.
+    Estimates decay with a half-life. A block's hash covers the blocks before it,
+    and a prompt's blocks are touched from the last to the first, so eviction
+    always leaves a prefix of the prompt's blocks.
     """
 
     def __init__(self, half_life: float, blocks_per_upstream: int, event_lag: float):
@@ -70,11 +72,11 @@
         self._capacity = blocks_per_upstream
         self._event_lag = event_lag
         self._estimates: dict[str, _CacheEstimate] = {}
-        # The last upstreams that took each block.
+        # Upstreams that most recently received each block, latest first.
         self._holders: OrderedDict[int, list[str]] = OrderedDict()
 
     def cached_blocks(self, upstream: str, hashes: Sequence[int], now: float) -> float:
-        """Return how many of the first blocks are expected to be cached."""
+        """Return how many leading blocks of a prompt are expected to be cached."""
         estimate = self._estimates.get(upstream)
         if estimate is None or not hashes:
             return 0.0
@@ -87,24 +89,24 @@
         return known * hit_ratio * 0.5 ** ((now - seen_at) / self._half_life)
 
     def find_holders(self, hashes: Sequence[int]) -> list[str]:
-        """Return the upstreams that last took the longest known prefix."""
+        """Return the latest upstreams that received the longest known prefix."""
         known = _count_known(self._holders, hashes)
         return self._holders[hashes[known - 1]] if known else []
 
     def record_placement(
         self, upstream: str, hashes: Sequence[int], now: float
     ) -> None:
-        """Believe in the blocks of a prompt that an upstream gets."""
+        """Expect the blocks of a prompt to be cached by the upstream it is sent to."""
         self._store(upstream, hashes, now)
 
     def record_hits(self, upstream: str, expected: float, found: float) -> None:
-        """Trust beliefs about an upstream by how many blocks were found."""
+        """Update an upstream's hit ratio from expected and found blocks."""
         if expected >= 1:
             estimate = self._estimates.setdefault(upstream, _CacheEstimate())
             estimate.hit_ratio.add(min(1.0, found / expected))
 
     def apply_event(self, event: CacheEvent, now: float) -> None:
-        """Take an event in, which may be late and follow on missed ones."""
+        """Apply a cache event, which may be late or follow missed events."""
         estimate = self._estimates.setdefault(event.upstream, _CacheEstimate())
         if event.epoch < estimate.epoch:
             return
@@ -115,12 +117,12 @@
         estimate.sequence = max(estimate.sequence, event.sequence)
         self._store(event.upstream, event.stored, now - self._event_lag)
         for digest in event.removed:
-            # A newer placement has stored the block again.
+            # A block placed after the event is cached again.
             if estimate.blocks.get(digest, now) <= now - self._event_lag:
                 self._drop(event.upstream, digest)
 
     def forget(self, upstream: str) -> None:
-        """Drop all beliefs about an upstream, as it ended or started again."""
+        """Drop all blocks of an upstream that ended or restarted."""
         estimate = self._estimates.pop(upstream, None)
         for digest in () if estimate is None else estimate.blocks:
             self._drop_holder(upstream, digest)
@@ -169,7 +171,7 @@
 
 
 def _count_known(known: OrderedDict, hashes: Sequence[int]) -> int:
-    """Return how many of the first hashes are known, by halving."""
+    """Return how many leading hashes are known, by binary search."""
     low, high = 0, len(hashes)
     while low < high:
         middle = (low + high + 1) // 2
--- a/src/pepperstep/routing/queue.py
+++ b/src/pepperstep/routing/queue.py
@@ -1,4 +1,4 @@
-"""Accepted requests that wait for a place, in a fair order."""
+"""A fair queue of accepted requests that wait for an upstream slot."""
 
 from collections import deque
 from collections.abc import Callable, Iterator
@@ -17,20 +17,20 @@
 
 @dataclass(eq=False, slots=True)
 class Waiter:
-    """A request's attempt that waits; it ends with a placement or a failure."""
+    """A waiting attempt, settled by a placement or a failure."""
 
     work: WorkEstimate
     excluded: frozenset[str]
-    # Seconds that it is expected to hold a place.
+    # Seconds that the attempt is expected to hold a slot.
     cost: float
-    # Unix time after which it surely can't be answered within its deadline.
+    # Unix time after which the attempt can't meet its deadline.
     latest_start: float
     queued_at: float
-    # Seconds of waiting that were predicted as it was let in.
+    # Seconds of waiting predicted at admission.
     predicted_wait: float = 0.0
     attempt: int = 1
     cause: RetryCause | None = None
-    # What a failure says about earlier attempts.
+    # Whether earlier attempts may have run, as a failure reports it.
     execution: Execution = Execution.NOT_RUN
     result: Any = None
     failure: Failure | None = None
@@ -38,11 +38,11 @@
 
     @property
     def is_settled(self) -> bool:
-        """Whether it needs to wait no longer."""
+        """Whether the attempt has a placement or a failure."""
         return self.result is not None or self.failure is not None
 
     def wake(self) -> None:
-        """Let it look whether it's over, or whether it is to poll."""
+        """Wake the waiting task to check whether it is settled or has to poll."""
         self.changed.set()
         self.changed = trio.Event()
 
@@ -51,12 +51,12 @@
 
 
 def order_fairly(request: Request) -> tuple[Priority, str]:
-    """Order by class, and fairly among workspaces."""
+    """Order by priority class, and fairly among workspaces."""
     return request.priority, request.workspace
 
 
 def order_by_arrival(request: Request) -> tuple[Priority, str]:
-    """Order all by their arrival."""
+    """Order all requests by arrival."""
     return Priority.STANDARD, ""
 
 
@@ -67,14 +67,14 @@
 
 
 class _ClassQueue:
-    """Waiters of one class, by workspace, with a virtual clock."""
+    """Waiters of one priority class by workspace, for start-time fair queueing."""
 
     def __init__(self):
         self.waiters: dict[str, deque[Waiter]] = {}
-        # Virtual start of each workspace's next waiter.
+        # Virtual start time of each workspace's next waiter.
         self.virtual_starts: dict[str, float] = {}
         self.virtual_time = 0.0
-        # Starts that higher classes owe this one.
+        # Starts due to this class ahead of higher ones; 1.0 makes a start due.
         self.credit = 0.0
 
     def push(self, workspace: str, waiter: Waiter) -> None:
@@ -83,7 +83,7 @@
             self.virtual_starts[workspace] = max(
                 self.virtual_starts.get(workspace, 0.0), self.virtual_time
             )
-        # Later attempts have waited before.
+        # Retries go first, as their requests have waited before.
         if waiter.attempt > 1:
             waiters.appendleft(waiter)
         else:
@@ -110,10 +110,10 @@
 
 
 class FairQueue:
-    """Waiters in start-time fair order over workspaces, within classes.
+    """Start-time fair queueing over workspaces within priority classes.
 
-    A higher class goes first, but for a small share of the starts that the
-    classes below it get while they wait.
+    Higher classes start first, except that a small share of the starts goes to
+    lower classes that wait, so that no class starves.
     """
 
     def __init__(
@@ -129,20 +129,20 @@
         return self._size
 
     def is_empty_for(self, request: Request) -> bool:
-        """Whether nothing waits that would start before the request."""
+        """Whether no waiter would start before the request."""
         priority, _ = self._order(request)
         return not any(
             class_queue.waiters for class_queue in self._class_queues[: priority + 1]
         )
 
     def has_credit(self, request: Request) -> bool:
-        """Whether the request's class is due a start before higher ones."""
+        """Whether the request's class is due a start ahead of higher classes."""
         return self._class_queues[self._order(request)[0]].credit >= 1.0
 
     def work_ahead(
         self, request: Request, hold_time_of: Callable[[Priority], float]
     ) -> float:
-        """Return the seconds of places held until the request would start."""
+        """Return the slot-seconds of work to be done before the request starts."""
         priority, workspace = self._order(request)
         above = sum(
             self._count(each) * hold_time_of(each) for each in _CLASSES[:priority]
@@ -155,13 +155,13 @@
         return above + ahead * hold_time_of(priority)
 
     def push(self, waiter: Waiter) -> None:
-        """Add a waiter."""
+        """Add a waiter; a retry goes to the front of its workspace."""
         priority, workspace = self._order(waiter.work.request)
         self._class_queues[priority].push(workspace, waiter)
         self._size += 1
 
     def remove(self, waiter: Waiter) -> None:
-        """Remove a waiter that isn't to be started."""
+        """Remove a waiter without starting it."""
         priority, workspace = self._order(waiter.work.request)
         class_queue = self._class_queues[priority]
         waiters = class_queue.waiters.get(workspace, deque())
@@ -172,7 +172,7 @@
             class_queue.waiters.pop(workspace, None)
 
     def pop(self, waiter: Waiter) -> None:
-        """Take out a waiter that `heads` has yielded, as it starts."""
+        """Remove a waiter yielded by `heads` and charge its workspace for the start."""
         priority, workspace = self._order(waiter.work.request)
         weight = self._weight_of(workspace)
         self._class_queues[priority].pop(workspace, waiter.cost / weight)
@@ -180,14 +180,14 @@
         self._update_credits(priority)
 
     def adjust_charge(self, waiter: Waiter, seconds: float) -> None:
-        """Charge a started waiter's workspace what it held beyond its cost."""
+        """Charge a workspace for the seconds a waiter held beyond its cost."""
         priority, workspace = self._order(waiter.work.request)
         virtual_starts = self._class_queues[priority].virtual_starts
         if workspace in virtual_starts:
             virtual_starts[workspace] += seconds / self._weight_of(workspace)
 
     def heads(self) -> Iterator[Waiter]:
-        """Yield the first waiter of each workspace in the order to start them."""
+        """Yield the first waiter of each workspace in starting order."""
         for priority in self._ordered_classes():
             class_queue = self._class_queues[priority]
             workspaces = list(class_queue.waiters)
@@ -197,7 +197,7 @@
                 yield class_queue.waiters[workspace][0]
 
     def pop_expired(self, now: float) -> list[Waiter]:
-        """Remove and return those whose latest start (Unix time) has passed."""
+        """Remove and return the waiters whose latest start (Unix time) has passed."""
         expired = [
             waiter
             for waiters in self._all_waiters()
@@ -222,7 +222,7 @@
         return waiting
 
     def _update_credits(self, started: Priority) -> None:
-        """Pay for a start, and credit the classes below that wait."""
+        """Spend the started class's credit, and credit waiting lower classes."""
         class_queue = self._class_queues[started]
         class_queue.credit = max(0.0, class_queue.credit - 1.0)
         for below in self._class_queues[started + 1 :]:
--- a/src/pepperstep/routing/retries.py
+++ b/src/pepperstep/routing/retries.py
@@ -1,4 +1,4 @@
-"""Budgets, causes and pauses of retries."""
+"""Retry budgets, causes of retries and backoff."""
 
 import enum
 import random
@@ -11,26 +11,26 @@
 
 
 class RetryCause(enum.StrEnum):
-    """Why an attempt is followed by another."""
+    """Why an attempt is retried."""
 
-    # The upstream lives and refused, or lives and failed.
+    # The upstream is alive and refused the attempt or failed it.
     REFUSED = "refused"
     FAILED = "failed"
-    # The upstream was taken back, or died, or the owner of the request did.
+    # The upstream was reclaimed, or it or the host owning the request died.
     RECLAIMED = "reclaimed"
     DIED = "died"
 
     @property
     def may_overdraw(self) -> bool:
-        """Whether the retry is only slowed, not refused, without budget.
+        """Whether a retry beyond the budget is delayed instead of refused.
 
-        A request accepted before its upstream went must not be lost by it.
+        An accepted request must not be lost because its upstream was.
         """
         return self in (RetryCause.RECLAIMED, RetryCause.DIED)
 
 
 class _TokenBucket:
-    """Tokens that first attempts bring; a quiet time brings one."""
+    """Token bucket filled by first attempts, with one token per quiet period."""
 
     __slots__ = ("tokens", "_burst", "_filled_at", "_floor_period")
 
@@ -41,7 +41,7 @@
         self._filled_at = now
 
     def record_first_attempt(self, share: float, now: float) -> None:
-        """Add a first attempt's share, or the quiet time's if that is more."""
+        """Add a first attempt's share, or the floor rate's tokens if more."""
         floor = (now - self._filled_at) / self._floor_period
         self._filled_at = now
         if floor > share and self.tokens < 1.0:
@@ -50,20 +50,20 @@
             self.tokens = min(self._burst, self.tokens + share)
 
     def spend(self) -> None:
-        """Take a token, though there be none."""
+        """Take a token, into debt if there is none."""
         self.tokens = max(-self._burst, self.tokens - 1)
 
     def is_empty(self, now: float) -> bool:
-        """Whether no retry can be paid for."""
+        """Whether there is no token to take."""
         if now - self._filled_at >= self._floor_period:
             self.tokens = max(1.0, self.tokens)
             self._filled_at = now
-        # Ten shares of a tenth must make a whole.
+        # Ten additions of 0.1 round to less than 1.0.
         return self.tokens < 1.0 - 1e-9
 
 
 class RetryBudget:
-    """Retries as a share of first attempts, by workspace and for the host."""
+    """Limits retries to a share of first attempts, per workspace and per host."""
 
     def __init__(self, settings: RoutingSettings, now: float = 0.0):
         self._settings = settings
@@ -73,14 +73,15 @@
         )
 
     def record_first_attempt(self, workspace: str, share: float, now: float) -> None:
-        """Count a first attempt, which allows `share` of a retry."""
+        """Add `share` of a retry to the budget for a first attempt."""
         self._host.record_first_attempt(share, now)
         self._bucket(workspace, now).record_first_attempt(share, now)
 
     def spend(self, workspace: str, now: float, may_overdraw: bool = False) -> bool:
-        """Pay for a retry and return True, or return False if there is no budget.
+        """Spend a retry and return whether the budget allowed it.
 
-        A retry that may exceed the budget becomes a debt, up to the burst.
+        With `may_overdraw`, the retry is charged in any case, as a debt of up to
+        the burst.
         """
         bucket = self._bucket(workspace, now)
         is_granted = not (bucket.is_empty(now) or self._host.is_empty(now))
@@ -101,6 +102,6 @@
 
 
 def draw_backoff(retry: int, rng: random.Random, settings: RoutingSettings) -> float:
-    """Return a pause before the retry of this number, with full jitter."""
+    """Return the seconds to wait before a retry: exponential with full jitter."""
     max_backoff = settings.backoff_base * 2 ** min(retry - 1, 16)
     return rng.random() * min(settings.backoff_cap, max_backoff)
--- a/src/pepperstep/routing/service_levels.py
+++ b/src/pepperstep/routing/service_levels.py
@@ -1,4 +1,4 @@
-"""What the configuration in force says about requests."""
+"""Targets, weights and limits of requests in the current configuration."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Targets:
-    """A deployment's targets, in seconds."""
+    """A deployment's latency targets in seconds."""
 
     first_token: float = _FIRST_TOKEN_SECONDS
     between_tokens: float = _BETWEEN_TOKENS_SECONDS
@@ -27,7 +27,7 @@
 
 
 class ServiceLevels:
-    """What the configuration in force says about requests."""
+    """Looks up targets, weights and limits in the current configuration."""
 
     def __init__(
         self, configuration: Callable[[], Configuration], host_count: Callable[[], int]
@@ -37,21 +37,21 @@
 
     @property
     def peer_count(self) -> int:
-        """Other hosts that are taken to place work on the same upstreams."""
+        """Number of other hosts assumed to send work to the same upstreams."""
         return min(_MAX_PEER_COUNT, max(0, self._host_count() - 1))
 
     @property
     def max_queue(self) -> int:
-        """Requests of a workspace that may wait here."""
+        """Number of a workspace's requests that may wait at this host."""
         return self._configuration().limits.max_queue
 
     @property
     def retry_share(self) -> float:
-        """Retries as a share of first attempts."""
+        """Allowed retries as a share of first attempts."""
         return self._configuration().limits.retry_share
 
     def targets_of(self, request: Request) -> Targets:
-        """Return the targets of the request's deployment."""
+        """Return the targets of the request's deployment, or the defaults."""
         deployment = self._configuration().deployments.get(request.target)
         if deployment is None:
             return _DEFAULT_TARGETS
@@ -64,7 +64,7 @@
         return self._workspace(workspace).weight
 
     def max_in_flight_of(self, workspace: str) -> int:
-        """Return how many attempts a workspace may have in flight here."""
+        """Return this host's share of a workspace's limit, rounded up."""
         return -(
             -self._workspace(workspace).max_in_flight // max(1, self._host_count())
         )
--- a/src/pepperstep/routing/status.py
+++ b/src/pepperstep/routing/status.py
@@ -1,4 +1,4 @@
-"""State of the routing, as operators see it."""
+"""Routing state reported to operators."""
 
 from dataclasses import dataclass
 
@@ -10,11 +10,12 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamStatus:
-    """One upstream, as this host routes to it."""
+    """This host's routing state of one upstream."""
 
     name: str
-    # Attempts of this host, and those of others as estimated.
+    # Attempts of this host.
     in_flight: int
+    # Estimated attempts of other hosts.
     others_in_flight: int
     limit: float
     state: BreakerState
@@ -22,7 +23,7 @@
 
     @classmethod
     def from_tracked(cls, tracked: TrackedUpstream) -> "UpstreamStatus":
-        """Return the status of an upstream."""
+        """Return the status of a tracked upstream."""
         return cls(
             tracked.upstream.name,
             tracked.in_flight,
@@ -35,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingStatus:
-    """This host's queues, limits and upstreams."""
+    """Routing state of this host."""
 
     in_flight: int
     host_limit: float
