--- a/src/pepperstep/rollouts/__init__.py
+++ b/src/pepperstep/rollouts/__init__.py
@@ -1,4 +1,4 @@
-"""Roll-outs: a service's requests are moved to a new version step by step."""
+"""Canary roll-outs that move a service's requests to a new version in steps."""
 
 from pepperstep.rollouts.director import RolloutDirector
 from pepperstep.rollouts.machine import ROLLOUT_MACHINE, RolloutMachine
--- a/src/pepperstep/rollouts/director.py
+++ b/src/pepperstep/rollouts/director.py
@@ -1,4 +1,4 @@
-"""The control host's part in roll-outs: orders, evidence and the next step."""
+"""Roll-outs on a control host: orders, evidence and the next step."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
@@ -24,28 +24,28 @@
 _POLL_SECONDS = 0.1
 _PROPOSE_SECONDS = 0.9
 _READ_SECONDS = 0.8
-# Shortest time that requests are counted over for their rate, in seconds.
+# Shortest time over which the request rate is computed.
 _MIN_RATE_SECONDS = 0.5
-# Time until a new leader has heard of all entry hosts, in seconds.
+# Time within which a new leader receives reports from all entry hosts.
 _NEW_LEADER_SECONDS = 1.0
-# Time after which what an entry host told is left out of what's under way, in seconds.
+# Age from which an entry host's report doesn't count for requests in flight.
 _EVIDENCE_TTL_SECONDS = 2.0
 
 
 @dataclass(slots=True)
 class _Evidence:
-    """What entry hosts told of one roll-out."""
+    """Outcomes of one roll-out that entry hosts have reported."""
 
     number: int
-    # By host and incarnation, with the time of the latest word.
+    # Time and content of the latest report by host and incarnation.
     hosts: dict[tuple[str, int], tuple[float, Outcomes]] = field(default_factory=dict)
-    # Outcomes when the share last changed.
+    # Total outcomes when the share last changed.
     before: Outcomes = field(default_factory=Outcomes)
     changed_at: float = 0.0
 
 
 class RolloutDirector:
-    """Takes orders on any control host, and moves roll-outs on where it leads."""
+    """Accepts orders on any control host; on the leader, advances roll-outs."""
 
     def __init__(
         self,
@@ -75,7 +75,7 @@
 
     @property
     def index(self) -> int:
-        """Position in the log of the latest change."""
+        """Log index of the latest change."""
         return self._machine.index
 
     def messages(self) -> list[pb.RolloutRecord]:
@@ -83,28 +83,28 @@
         return [each.to_message() for each in self._machine.latest()]
 
     def expect(self, messages: Iterable[pb.RolloutRecord]) -> None:
-        """Take in what `messages` gave before this host's start."""
+        """Load the records that `messages` returned before this host restarted."""
         self._machine.expect(map(Rollout.from_message, messages))
 
     def judge(self) -> str:
-        """Return the control host that judges, "" while no roll-out runs."""
+        """Return the judge, the log's leader, or "" if no roll-out runs."""
         return self._agreement.leader if self._machine.running() else ""
 
     def subscribe(self, subscriber: Callable[[Rollout], None]) -> None:
-        """Call `subscriber` with each roll-out that has changed."""
+        """Call `subscriber` with each changed roll-out."""
         self._subscribers.append(subscriber)
 
     def is_trial(self, upstream: Announcement) -> bool:
-        """Whether an upstream is there for a running roll-out only."""
+        """Whether an upstream runs the new version of an undecided roll-out."""
         rollout = self._machine.get(upstream.service)
         if rollout is None or not rollout.is_running:
             return False
         return upstream.software == rollout.to
 
     async def read(self, service: str) -> Rollout:
-        """Return a service's latest roll-out as all control hosts agree on it.
+        """Return a service's latest committed roll-out.
 
-        Raise `Failure` with `UNKNOWN_NAME` for none, and with `NO_QUORUM`.
+        Raise `Failure` with `UNKNOWN_NAME` if there was none, and with `NO_QUORUM`.
         """
         await self._agreement.barrier(_READ_SECONDS)
         rollout = self._machine.get(service)
@@ -113,10 +113,10 @@
         return rollout
 
     async def start(self, service: str, to: str, duration: float) -> None:
-        """Return once a roll-out is agreed on, or known as an order sent again.
+        """Return once the order is committed or recognized as a repeat.
 
         Raise `Failure` with `REVISION_CONFLICT` while another version is rolled out,
-        and with `NO_QUORUM` where the order's fate isn't known.
+        and with `NO_QUORUM` if the order may or may not be committed.
         """
         start = pb.RolloutStart(
             service=service,
@@ -129,10 +129,10 @@
         if answer.is_refused:
             text = f"{service} is being moved to {answer.record.to}."
             raise Failure(Code.REVISION_CONFLICT, text)
-        logging.info("rollouts: Acknowledges %s to %s.", service, to)
+        logging.info("rollouts: Accepted roll-out of %s to %s.", service, to)
 
     async def run(self) -> None:
-        """Move roll-outs on while this host leads, until cancelled."""
+        """Advance roll-outs while this host leads the log, until cancelled."""
         async for now in self._timers.subscribe(_POLL_SECONDS):
             if not self._agreement.is_leader:
                 self._leader_since = None
@@ -183,7 +183,7 @@
         )
 
     def _has_majority_evidence(self, evidence: _Evidence, oldest_at: float) -> bool:
-        """Whether most entry hosts' outcomes are known as they are now."""
+        """Whether most entry hosts have reported since `oldest_at`."""
         fresh = sum(at >= oldest_at for at, _ in evidence.hosts.values())
         return 2 * fresh > self._entries.count
 
@@ -205,7 +205,7 @@
             await self._propose(pb.RolloutCommand(move=message))
         except Failure as failure:
             logging.info(
-                "rollouts: A step of %s isn't agreed on: %s",
+                "rollouts: Step of %s was not committed: %s",
                 rollout.service,
                 failure.text,
             )
--- a/src/pepperstep/rollouts/evaluation.py
+++ b/src/pepperstep/rollouts/evaluation.py
@@ -1,9 +1,9 @@
-"""Whether a new version is worse than the others, by what requests met.
+"""Tests whether a new version is worse than the old ones, by its outcomes.
 
-Both versions get requests in the same seconds, so what harms all upstreams doesn't
-tell them apart. The test is sequential: it's looked at after each outcome, and its
-evidence is the mean of likelihood ratios, whose chance to ever pass a threshold is
-at most one in that threshold while the versions are alike.
+Both get requests at the same time, so a fault that affects all upstreams makes no
+difference between them. The test is sequential, as it is repeated after each outcome.
+Its evidence is the mean of likelihood ratios. If the versions are alike, the
+probability that the evidence ever exceeds a threshold is at most 1 / threshold.
 """
 
 import math
@@ -14,48 +14,48 @@
 
 __all__ = ["Verdict", "evaluate", "log_evidence"]
 
-# Chance that a version which is as good as the others is taken for worse.
+# Probability that a version as good as the old ones is found to be worse.
 _FALSE_ALARM_PROBABILITY = 1e-3
-# Shares of bad outcomes beyond the others' that a worse version may have.
+# Excess shares of bad outcomes that a worse version is tested for.
 _EXCESS_SHARES = (0.05, 0.15, 0.4)
-# Bad outcomes that a verdict needs: fewer are no pattern.
+# Bad outcomes that a verdict needs, as fewer may be chance.
 _MIN_BAD_OUTCOMES = 4
-# Outcomes of the others that count as known beforehand, one of them bad.
+# Prior outcomes assumed of the old versions, one of them bad.
 _PRIOR_OUTCOMES = 20
-# Answers that take so many classes longer than the others' median are slow: three
-# to four times as long.
+# Answers this many latency buckets above the old versions' median are slow, which is
+# three to four times as long.
 _SLOW_BUCKETS = 4
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What the outcomes say of a new version."""
+    """Result of the test of a new version."""
 
     is_bad: bool
-    # Natural logarithm of the strongest evidence against it.
+    # Natural logarithm of the strongest evidence against the version.
     evidence: float = 0.0
     reason: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class _Comparison:
-    """Bad outcomes among all, on the new version and on the others."""
+    """Bad and total outcomes of the new version and of the old ones."""
 
     name: str
     bad: int
     total: int
     old_bad: int
     old_total: int
-    # Share of bad outcomes that the others may have.
+    # Upper bound of the old versions' share of bad outcomes.
     old_share: float
 
 
 def evaluate(outcomes: Outcomes, before: Outcomes | None = None) -> Verdict:
-    """Return whether the new version is worse, on one route at least.
+    """Return whether the new version is worse on at least one route.
 
-    What a single one of several upstreams does is that upstream's fault. With `before`,
-    the outcomes when its share last changed, those since then are judged alone besides:
-    a version may turn bad by its load.
+    Outcomes of a single one of several upstreams are put down to that upstream, not
+    to the version. `before` holds the outcomes when the share last changed; outcomes
+    since then are also tested alone, as a version may turn bad under load.
     """
     strongest = Verdict(False)
     comparisons = list(_compare(outcomes, outcomes))
@@ -75,7 +75,7 @@
 
 
 def log_evidence(bad: int, total: int, share: float) -> float:
-    """Return the logarithm of the evidence that more than `share` are bad."""
+    """Return the log evidence that more than `share` of the outcomes are bad."""
     ratios = [_log_ratio(bad, total, share, excess) for excess in _EXCESS_SHARES]
     highest = max(ratios)
     mean = sum(math.exp(ratio - highest) for ratio in ratios) / len(ratios)
@@ -89,7 +89,10 @@
 
 
 def _old_share(current: tuple[int, int], baseline: tuple[int, int]) -> float:
-    """Return the worse of the others' shares, that of now if it rests on enough."""
+    """Return the worse share of the old versions, in the same time or overall.
+
+    The share in the same time counts only with enough outcomes.
+    """
     share = _upper_share(*baseline)
     if current[1] < _PRIOR_OUTCOMES:
         return share
@@ -97,17 +100,17 @@
 
 
 def _upper_share(bad: int, total: int) -> float:
-    """Return what share of bad outcomes the others may have at most."""
+    """Return an upper bound of a share of bad outcomes, with the prior added."""
     mean = (bad + 1) / (total + _PRIOR_OUTCOMES)
     margin = math.sqrt(mean * (1 - mean) / (total + _PRIOR_OUTCOMES))
     return min(mean + margin, 0.9)
 
 
 def _compare(outcomes: Outcomes, baseline: Outcomes) -> Iterator[_Comparison]:
-    """Yield the comparisons, each without the upstream that did worst in it.
+    """Yield comparisons, each leaving out the new version's worst upstream.
 
-    The others are taken as they were in the same time, or as in all the time that
-    `baseline` tells of, where that was worse.
+    The old versions' share is that of the same time or that of `baseline`, their
+    outcomes of the whole roll-out, whichever is worse.
     """
     for route in (None, *sorted(outcomes.routes())):
         name = "all routes" if route is None else f"route {route}"
@@ -127,7 +130,7 @@
             ),
         )
         if limit is None or route is None:
-            # Routes differ in how long their answers take.
+            # Latencies of different routes aren't comparable.
             continue
         slowest = _worst_upstream(outcomes, route, _slow_count(limit))
         new = outcomes.of_new(route, slowest)
@@ -147,7 +150,7 @@
 def _worst_upstream(
     outcomes: Outcomes, route: str | None, count: Callable[[Tally], int]
 ) -> str:
-    """Return the upstream with the most of what's counted, "" for a single one."""
+    """Return the new upstream with the highest count, "" if there is only one."""
     upstreams = outcomes.upstreams()
     if len(upstreams) < 2:
         return ""
@@ -167,7 +170,7 @@
 
 
 def _slow_limit(old: Tally) -> int | None:
-    """Return the class from which answers are slow, None where nothing is known."""
+    """Return the bucket from which answers are slow, None for too few answers."""
     if old.answers < _PRIOR_OUTCOMES:
         return None
     cumulative = 0
--- a/src/pepperstep/rollouts/machine.py
+++ b/src/pepperstep/rollouts/machine.py
@@ -1,4 +1,4 @@
-"""Roll-outs in the replicated log: one at a time for each service."""
+"""State machine of roll-outs in the replicated log, one per service at a time."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import replace
@@ -12,24 +12,24 @@
 
 
 class RolloutMachine:
-    """The latest roll-out of each service."""
+    """Keeps the latest roll-out of each service."""
 
     def __init__(self, on_change: Callable[[Rollout], None] = lambda rollout: None):
         self.on_change = on_change
         self._rollouts: dict[str, Rollout] = {}
-        # What was agreed on before this host's start; the log may not be read yet.
+        # Records saved before this host restarted; the log may not be applied yet.
         self._preloaded: dict[str, Rollout] = {}
-        # Position in the log of the latest change that is known.
+        # Log index of the latest known change.
         self.index = 0
 
     def get(self, service: str) -> Rollout | None:
-        """Return a service's latest roll-out, None if it had none."""
+        """Return a service's latest roll-out, or None."""
         return self._rollouts.get(service)
 
     def latest(self) -> list[Rollout]:
-        """Return the newest that's known of each service's latest roll-out.
+        """Return the newest known record of each service's latest roll-out.
 
-        Right after a start that's more than what the log's applied part says.
+        After a restart, a preloaded record may be newer than the applied log.
         """
         merged = dict(self._preloaded)
         for service, rollout in self._rollouts.items():
@@ -39,17 +39,17 @@
         return list(merged.values())
 
     def expect(self, rollouts: Iterable[Rollout]) -> None:
-        """Take in what was agreed on before this host's start."""
+        """Load records that were committed before this host restarted."""
         for rollout in rollouts:
             self._preloaded[rollout.service] = rollout
             self.index = max(self.index, rollout.index)
 
     def running(self) -> list[Rollout]:
-        """Return the roll-outs that are undecided."""
+        """Return the undecided roll-outs."""
         return [each for each in self._rollouts.values() if each.is_running]
 
     def apply(self, index: int, command: bytes) -> bytes:
-        """Carry out a command and return a `RolloutAnswer`."""
+        """Apply a command and return a `RolloutAnswer`."""
         message = pb.RolloutCommand.FromString(command)
         if message.WhichOneof("kind") == "start":
             is_accepted = self._start(index, message.start)
@@ -64,21 +64,22 @@
         return answer.SerializeToString()
 
     def snapshot(self) -> bytes:
-        """Return all roll-outs."""
+        """Return all roll-outs as bytes."""
         records = [each.to_message() for each in self._rollouts.values()]
         return pb.RolloutState(records=records).SerializeToString()
 
     def restore(self, data: bytes) -> None:
-        """Take the state that `snapshot` returned."""
+        """Replace the state by one that `snapshot` returned."""
         for record in pb.RolloutState.FromString(data).records:
             rollout = Rollout.from_message(record)
             if self._rollouts.get(rollout.service) != rollout:
                 self._store(rollout)
 
     def _start(self, index: int, start: pb.RolloutStart) -> bool:
-        """Begin a roll-out, unless the order repeats the latest one.
+        """Start a roll-out, unless the order repeats the latest one.
 
-        Return whether the order stands; another version waits for the running one.
+        Return whether the order is accepted; it is refused while another version is
+        rolled out.
         """
         last = self._rollouts.get(start.service)
         if last is not None and last.to == start.to and _is_repeat(last, start):
@@ -123,10 +124,10 @@
 
 
 def _is_repeat(last: Rollout, start: pb.RolloutStart) -> bool:
-    """Whether an order for the same version brings nothing new.
+    """Whether an order for the same version repeats the last order.
 
-    One that comes after a roll-back may be the first order sent again, or a second
-    try: the first for as long as orders may be sent again.
+    After a roll-back, an order within `resend_seconds` of the roll-out's start is
+    the first order sent again; a later one is a new attempt.
     """
     if last.state is not RolloutState.ROLLED_BACK:
         return True
--- a/src/pepperstep/rollouts/observer.py
+++ b/src/pepperstep/rollouts/observer.py
@@ -1,4 +1,4 @@
-"""What an entry host sees of a roll-out, and how it tells the judge."""
+"""Counts a roll-out's outcomes on an entry host and reports them."""
 
 from collections.abc import Callable
 
@@ -14,21 +14,22 @@
 
 __all__ = ["RolloutObserver"]
 
-# Between two messages to the judge, in seconds: where the new version has answered
-# or failed, and else. A bad one that gets all requests is stopped by the first.
+# Time between two reports while the new version answers or fails requests. It is
+# short so that a bad version that gets all requests is stopped soon.
 _REPORT_PERIOD_SECONDS = 0.1
+# Time between two reports without new outcomes of the new version.
 _IDLE_REPORT_PERIOD_SECONDS = 0.75
 _CALL_SECONDS = 0.5
-# Time since the judge's latest answer after which nobody judges, in seconds.
+# Age of the latest acknowledged report after which no judge is assumed to be active.
 _ACKNOWLEDGEMENT_TTL_SECONDS = 1.2
-# Requests that failed in a row on a new version after which this host sends it no
-# others for some seconds, whatever the judge knows.
+# Consecutive failures of a new version after which this host stops sending it
+# requests for some seconds without waiting for the judge.
 _MAX_CONSECUTIVE_FAILURES = 3
 _SUSPENSION_SECONDS = 2.0
 
 
 class _Observation:
-    """Outcomes of one roll-out on this host."""
+    """Outcomes of one roll-out on this host, and the state of their reports."""
 
     def __init__(self, number: int):
         self.number = number
@@ -37,15 +38,16 @@
         self.suspended_until = float("-inf")
         self.is_reported = False
         self.reported_at = float("-inf")
-        # When the latest message was made that the judge has acknowledged.
+        # Time of the latest report that the judge has acknowledged.
         self.acknowledged_at = float("-inf")
 
 
 class RolloutObserver:
-    """Counts outcomes while a roll-out runs, and tells the control host that judges.
+    """Counts outcomes of running roll-outs and reports them to the judge.
 
-    `in_flight` gives the requests under way at a service's upstreams of other
-    versions than the one given.
+    The judge is the control host that leads the log; it evaluates the outcomes of
+    all entry hosts. `in_flight` returns the number of this host's requests in
+    flight at upstreams of other versions than the new one.
     """
 
     def __init__(
@@ -64,12 +66,12 @@
         self._running = running
         self._in_flight = in_flight
         self._observations: dict[str, _Observation] = {}
-        # Control host that judges, as the latest answers told.
+        # Name of the judge from the latest sync, "" for none.
         self.judge = ""
         self._wake = trio.Event()
 
     def is_judged(self, rollout: Rollout) -> bool:
-        """Whether the judge knows what happens here, and this host sees no fault."""
+        """Whether the judge gets this host's reports and sending isn't suspended."""
         observation = self._observation(rollout)
         now = self._timers.now()
         if now < observation.suspended_until:
@@ -77,7 +79,7 @@
         return now - observation.acknowledged_at < _ACKNOWLEDGEMENT_TTL_SECONDS
 
     def wake(self) -> None:
-        """Tell the judge at once; called when a roll-out has changed."""
+        """Resume reporting, after a roll-out has changed."""
         self._wake.set()
 
     def record_outcome(
@@ -90,7 +92,7 @@
     ) -> None:
         """Count a request that ended; `seconds` is None for a failure.
 
-        `expected` gives the seconds that its first token should take, 0 for none.
+        `expected` is the expected time to the first token in seconds, 0 if unknown.
         """
         observation = self._observation(rollout)
         is_new = upstream.software == rollout.to
@@ -116,7 +118,7 @@
             observation.suspended_until = self._timers.now() + _SUSPENSION_SECONDS
 
     async def run(self) -> None:
-        """Tell until cancelled."""
+        """Send reports until cancelled."""
         while True:
             rollouts = self._running()
             if not rollouts:
@@ -157,12 +159,12 @@
             observation.is_reported = False
 
     async def _send_evidence(self, message: pb.RolloutEvidence) -> bool:
-        """Whether the judge has acknowledged what this host saw."""
+        """Send a report and return whether the judge has acknowledged it."""
         if not self.judge:
             return False
         try:
             reply = await self._peers.call(self.judge, message, _CALL_SECONDS)
         except Failure as failure:
-            logging.info("rollouts: %s isn't told: %s", self.judge, failure.text)
+            logging.info("rollouts: Report to %s failed: %s", self.judge, failure.text)
             return False
         return reply.is_judge
--- a/src/pepperstep/rollouts/plan.py
+++ b/src/pepperstep/rollouts/plan.py
@@ -1,8 +1,8 @@
-"""What to do next with a running roll-out.
+"""Chooses the next step of a running roll-out.
 
-The share of the new version grows in steps, so that a bad one meets few requests
-before it's found out. A step is left after its time, once enough requests were seen
-in it. A version that can't carry all requests by the deadline is rolled back.
+The share of the new version grows in steps, so that a bad version fails few requests
+before it is detected. A step ends after its time and enough outcomes. A version that
+lacks the capacity for all requests at the deadline is rolled back.
 """
 
 from dataclasses import dataclass
@@ -15,44 +15,46 @@
 
 @dataclass(frozen=True, slots=True)
 class _Step:
-    """A share of the new version, and how long it's watched."""
+    """A share of the requests for the new version, and its duration."""
 
-    # As a part of the time that is left; the last step may take all of that.
+    # Relative duration in the time that is left; the last step may use all of it.
     time_fraction: float
-    # Of the requests that a bad version may have, or a fixed share where it's 0.
+    # Fraction of the allowed exposure that the step uses, 0 for a fixed share.
     exposure_fraction: float = 0.0
+    # Fixed share of the requests.
     share: float = 0.0
 
 
-# Most of the time goes to small shares: a version that turns bad in that time meets
-# few requests. The last step also waits until older versions have nothing to do.
+# Most of the time goes to small shares, as a version that turns bad then fails few
+# requests. The last step also waits until older versions have no requests in flight.
 _STEPS = (
     _Step(time_fraction=0.15, exposure_fraction=0.07),
     _Step(time_fraction=0.3, exposure_fraction=0.18),
     _Step(time_fraction=0.04, share=0.25),
     _Step(time_fraction=0.2, share=1.0),
 )
-# Time that is kept for the end of the last step, as a part.
+# Relative duration reserved after the last step.
 _RESERVE_FRACTION = 0.2
-# The largest share of a step that is bounded by exposure.
+# Largest share of a step that is bounded by exposure.
 _MAX_EXPOSURE_BOUND_SHARE = 0.3
-# Outcomes on the new version that a step needs, or so many times its usual time.
+# Outcomes of the new version that a step needs, unless it has lasted
+# `_MAX_STEP_EXTENSION` times its duration.
 _MIN_STEP_OUTCOMES = 10
 _MAX_STEP_EXTENSION = 1.5
-# Outcomes without which no version succeeds before the last moment.
+# Outcomes that a version needs to succeed before the last moment.
 _MIN_OUTCOMES = 30
-# Logarithm of the evidence against a version from which it doesn't succeed: less than
-# what rolls it back at once.
+# Logarithm of the evidence against a version from which it can't succeed. It is lower
+# than the evidence that rolls a version back at once.
 _MAX_EVIDENCE = 5.0
-# Time before the deadline by which it's decided, in seconds and as a part of the
-# whole: the decision has to be agreed on and told.
+# Time between the decision and the deadline, the longer of seconds and a fraction of
+# the duration. The decision has to be committed and sent to entry hosts within it.
 _DECISION_MARGIN_SECONDS = 0.6
 _DECISION_MARGIN_FRACTION = 0.06
 
 
 @dataclass(frozen=True, slots=True)
 class ExposureBound:
-    """Requests that a bad version may have: a share of all, and so many besides."""
+    """Allowed requests to a bad version: a share of all requests plus an allowance."""
 
     share: float = 0.1
     allowance: float = 50.0
@@ -60,23 +62,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Situation:
-    """What a decision rests on; times are Unix times."""
+    """Input of a decision; times are Unix times."""
 
     now: float
-    # Upstreams that take work.
+    # Upstreams that accept work, by version.
     new_count: int
     old_count: int
-    # Upstreams that the service's requests need.
+    # Number of upstreams that the service's load needs.
     needed: float
     verdict: Verdict
-    # The service's requests a second, on all versions.
+    # Requests per second of the service, on all versions.
     rate: float = 0.0
-    # Requests that ended on the new version, and those when its share last changed.
+    # Requests that ended on the new version.
     outcomes: int = 0
+    # Requests that had ended on the new version when its share last changed.
     outcomes_before: int = 0
-    # Requests under way at upstreams of other versions.
+    # Requests in flight at upstreams of other versions.
     in_flight: int = 0
-    # Whether what entry hosts saw is known; a new leader hears of it in a second.
+    # Whether the outcomes are complete; a new leader gets them within a second.
     is_informed: bool = True
 
 
@@ -87,14 +90,14 @@
     state: RolloutState
     share: float
     reason: str
-    # Steps that were entered.
+    # Number of steps entered so far.
     step: int = 0
 
 
 def next_move(
     rollout: Rollout, situation: Situation, bound: ExposureBound
 ) -> Move | None:
-    """Return the change that is due, None for none."""
+    """Return the change that is due, or None."""
     if situation.verdict.is_bad:
         return _roll_back(situation.verdict.reason)
     is_last_moment = situation.now >= _decision_time(rollout)
@@ -132,7 +135,7 @@
 def _share_of(
     step: _Step, rollout: Rollout, situation: Situation, bound: ExposureBound
 ) -> float:
-    """Return the share by which a step has its part of what a bad version may have."""
+    """Return the share with which a step uses its fraction of the allowed exposure."""
     if step.share:
         return step.share
     requests = situation.rate * rollout.duration
@@ -148,9 +151,9 @@
 def _finish(
     rollout: Rollout, situation: Situation, bound: ExposureBound, is_last_moment: bool
 ) -> Move | None:
-    """End a roll-out whose new version gets all requests.
+    """Decide on a roll-out whose new version gets all requests.
 
-    The old upstreams stop at that moment, with what is under way there.
+    Success stops the old upstreams at once, with their requests in flight.
     """
     has_capacity = _has_capacity(1.0, situation)
     is_trusted = situation.verdict.evidence < _MAX_EVIDENCE
@@ -170,7 +173,7 @@
 def _has_enough_outcomes(
     least: int, rollout: Rollout, situation: Situation, bound: ExposureBound
 ) -> bool:
-    """Whether enough was seen, or all requests together are few enough to risk."""
+    """Whether there are enough outcomes, or all requests fit in the allowance."""
     all_requests = situation.rate * rollout.duration
     return situation.outcomes >= least or all_requests <= bound.allowance
 
@@ -185,13 +188,13 @@
 
 
 def _has_capacity(share: float, situation: Situation) -> bool:
-    """Whether the new upstreams are enough for a share of the requests."""
+    """Whether there are enough new upstreams for a share of the requests."""
     needed = max(situation.needed, situation.old_count / 2, 1.0)
     return situation.new_count >= share * needed
 
 
 def _is_step_over(rollout: Rollout, situation: Situation) -> bool:
-    """Whether a step has had its part of the time that was left at its begin."""
+    """Whether a step has lasted its fraction of the time left at its start."""
     elapsed = situation.now - rollout.changed_at
     steps = _STEPS[rollout.step - 1 :]
     parts = sum(each.time_fraction for each in steps) + _RESERVE_FRACTION
--- a/src/pepperstep/rollouts/records.py
+++ b/src/pepperstep/rollouts/records.py
@@ -1,4 +1,4 @@
-"""A roll-out as the control hosts have agreed on it."""
+"""The replicated record of a roll-out."""
 
 import enum
 from dataclasses import dataclass
@@ -9,52 +9,52 @@
 
 
 class RolloutState(enum.StrEnum):
-    """How far a roll-out is."""
+    """Whether a roll-out is undecided, or how it ended."""
 
     RUNNING = "running"
     # The new version has replaced the others.
     SUCCEEDED = "succeeded"
-    # The new version gets nothing any more.
+    # The new version gets no requests.
     ROLLED_BACK = "rolled_back"
 
 
 @dataclass(frozen=True, slots=True)
 class Rollout:
-    """Moving a service's requests to a new version; times are Unix times."""
+    """A move of a service's requests to a new version; times are Unix times."""
 
     service: str
-    # Grows with each roll-out of the service.
+    # Counts the service's roll-outs from 1.
     number: int
-    # Version of the software.
+    # Version of the software that the requests move to.
     to: str
-    # Seconds from the start until it has to be decided.
+    # Seconds from the start to the deadline for the decision.
     duration: float
     started_at: float
     changed_at: float
     state: RolloutState = RolloutState.RUNNING
-    # Part of the requests that go to the new version while it runs.
+    # Share of the requests that go to the new version while the roll-out runs.
     share: float = 0.0
-    # Position in the log of the latest change.
+    # Log index of the latest change.
     index: int = 0
     reason: str = ""
-    # Versions that the new one has replaced.
+    # Versions that the new version has replaced.
     replaced: tuple[str, ...] = ()
-    # Steps of its share that were entered.
+    # Number of steps of the share entered so far.
     step: int = 0
 
     @property
     def is_running(self) -> bool:
-        """Whether it's undecided."""
+        """Whether the roll-out is undecided."""
         return self.state is RolloutState.RUNNING
 
     @property
     def deadline(self) -> float:
-        """Unix time by which it has to be decided."""
+        """Unix time by which the roll-out has to be decided."""
         return self.started_at + self.duration
 
     @classmethod
     def from_message(cls, message: pb.RolloutRecord) -> "Rollout":
-        """Return the roll-out that `message` carries."""
+        """Return the roll-out in `message`."""
         return cls(
             message.service,
             message.number,
--- a/src/pepperstep/rollouts/versions.py
+++ b/src/pepperstep/rollouts/versions.py
@@ -1,4 +1,4 @@
-"""Which versions of a service's software a request may go to."""
+"""Selects the version of a service's software for each request."""
 
 from collections.abc import Callable, Collection
 
@@ -10,38 +10,38 @@
 
 __all__ = ["VersionSplit"]
 
-# Time for which upstreams of a version that has just appeared wait, in seconds: they
-# may belong to a roll-out that this host hasn't heard of.
+# Time for which upstreams of a newly seen version get no requests, as they may belong
+# to a roll-out that this host has not learned of yet.
 _NEW_VERSION_DELAY_SECONDS = 3.0
 _HASH_RANGE = 2.0**64
 
 
 class VersionSplit:
-    """Splits each service's requests between its versions, as one host does it.
+    """Splits each service's requests on one host between its versions.
 
-    `is_judged` tells whether what this host sees of a roll-out reaches its judge: a
-    new version that nobody judges gets nothing.
+    `is_judged` returns whether this host's outcomes of a roll-out reach the control
+    host that evaluates them. A new version gets no requests otherwise.
     """
 
     def __init__(self, now: Callable[[], float], is_judged: Callable[[Rollout], bool]):
         self._now = now
         self._is_judged = is_judged
         self._rollouts: dict[str, Rollout] = {}
-        # When a version was first seen, by service.
+        # Time at which each version was first seen, by service.
         self._first_seen: dict[str, dict[str, float]] = {}
-        # Position in the log of the newest change that is known.
+        # Log index of the latest known change.
         self.index = 0
 
     def get(self, service: str) -> Rollout | None:
-        """Return a service's latest roll-out, None if it had none."""
+        """Return a service's latest roll-out, or None."""
         return self._rollouts.get(service)
 
     def running(self) -> list[Rollout]:
-        """Return the roll-outs that are undecided."""
+        """Return the undecided roll-outs."""
         return [each for each in self._rollouts.values() if each.is_running]
 
     def update(self, rollout: Rollout) -> bool:
-        """Take in a roll-out's state and return whether it's newer."""
+        """Apply a roll-out's state and return whether it was newer."""
         known = self._rollouts.get(rollout.service)
         if known is not None and known.index >= rollout.index:
             return False
@@ -50,12 +50,12 @@
         return True
 
     def observe_upstream(self, upstream: Announcement) -> None:
-        """Take in that an upstream of a version is there."""
+        """Record when the version of an upstream was first seen."""
         versions = self._first_seen.setdefault(upstream.service, {})
         versions.setdefault(upstream.software, self._now())
 
     def is_new(self, upstream: Announcement) -> bool:
-        """Whether an upstream is of the version that a running roll-out brings."""
+        """Whether an upstream runs the new version of an undecided roll-out."""
         rollout = self._rollouts.get(upstream.service)
         if rollout is None or not rollout.is_running:
             return False
@@ -68,9 +68,9 @@
         facts: RequestFacts,
         tried: Collection[UpstreamKey] = (),
     ) -> list[Announcement]:
-        """Return those of a service's upstreams that a request may go to.
+        """Return the upstreams of a service that a request may be sent to.
 
-        What a new version has failed is tried again on the others only.
+        A request that the new version failed is retried on other versions only.
         """
         rollout = self._rollouts.get(service)
         if rollout is None:
@@ -87,9 +87,10 @@
         return new
 
     def _is_in_new_share(self, rollout: Rollout, facts: RequestFacts) -> bool:
-        """Whether a request is among the new version's share.
+        """Whether a request belongs to the new version's share.
 
-        A session's requests are drawn alike, and stay while the share grows.
+        The request's session is hashed, so that all its requests go to the same
+        version and stay on the new version as the share grows.
         """
         if not rollout.share or not self._is_judged(rollout):
             return False
