--- a/proofs/changes.py
+++ b/proofs/changes.py
@@ -58,7 +58,7 @@
         "rollouts/machine.py",
         "last.to == start.to and _is_repeat(last, start)",
         "False",
-        (f"{_MACHINE}test_order_that_is_sent_again_changes_nothing",),
+        (f"{_MACHINE}test_repeated_order_changes_nothing",),
     ),
     Mechanism(
         7,
@@ -75,7 +75,7 @@
         "        if not rollout.share or not self._is_judged(rollout):",
         "        if not rollout.share:",
         (
-            f"{_VERSIONS}test_nothing_goes_to_a_version_that_nobody_judges",
+            f"{_VERSIONS}test_version_that_is_not_judged_gets_no_requests",
             f"{_HOSTS}test_entry_host_that_is_cut_off_stops_sending",
         ),
     ),
@@ -85,7 +85,7 @@
         "coordination/hints.py",
         "        self._rollouts.expect(hints.rollouts)\n",
         "",
-        (f"{_HOSTS}test_control_host_without_a_leader_tells_of_roll_outs",),
+        (f"{_HOSTS}test_control_host_without_a_leader_sends_roll_outs",),
     ),
     Mechanism(
         7,
@@ -93,7 +93,7 @@
         "rollouts/plan.py",
         "    if situation.verdict.is_bad:",
         "    if False:",
-        (f"{_HOSTS}test_bad_version_is_taken_back",),
+        (f"{_HOSTS}test_bad_version_is_rolled_back",),
     ),
     Mechanism(
         7,
@@ -103,7 +103,7 @@
         "    if False:",
         (
             f"{_EVALUATION}"
-            "test_version_that_turns_bad_by_its_load_is_found_in_spite_of_its_record",
+            "test_version_that_turns_bad_under_load_is_found_despite_its_record",
         ),
     ),
     Mechanism(
@@ -114,7 +114,7 @@
         "    if True:",
         (
             f"{_EVALUATION}"
-            "test_what_one_of_several_upstreams_does_is_not_the_versions_fault",
+            "test_failures_of_one_upstream_do_not_count_against_the_version",
         ),
     ),
     Mechanism(
--- a/tests/rollouts/simulator.py
+++ b/tests/rollouts/simulator.py
@@ -1,7 +1,7 @@
-"""Roll-outs of versions that are good or bad, by hosts that report to a judge.
+"""Simulates roll-outs of good and bad versions without network or clock.
 
-Requests arrive evenly; reports reach the judge, and its steps the hosts, later. No
-network and no clock: 55 hosts for 12 seconds take some milliseconds.
+Requests arrive at a constant rate. Reports reach the judge, and its steps reach the
+hosts, after a delay. 55 hosts over 12 seconds are simulated in milliseconds.
 """
 
 import random
@@ -13,96 +13,99 @@
 from pepperstep.rollouts.plan import ExposureBound, Situation, next_move
 from pepperstep.rollouts.records import Rollout, RolloutState
 
-# Seconds from an outcome until the judge knows it, and from a step until hosts do.
+# Longest delay of a report on the new and on old versions.
 REPORT_SECONDS = 0.15
 OLD_REPORT_SECONDS = 0.75
-TELL_SECONDS = 0.1
+# Time from a step until hosts apply it.
+PROPAGATION_SECONDS = 0.1
 STEP_SECONDS = 0.1
 
 
 @dataclass(frozen=True)
 class Request:
-    """A request on the new version, as faults of versions depend on it."""
+    """A request, as input of the fault function of its version."""
 
     route: str
-    # Since the order, in seconds.
+    # Seconds since the order.
     time: float
-    # Requests that the new version has had before.
+    # Number of earlier requests to the new version.
     number: int
-    # Part of all requests that the new version gets.
+    # Share of the requests that the new version gets.
     share: float
     upstream: int
 
 
-# Returns how much longer a request takes, None for a failure.
+# Returns the factor by which a request takes longer, None for a failure.
 Fault = Callable[[Request, random.Random], float | None]
 
 
 @dataclass(frozen=True)
-class Scene:
+class Scenario:
     """A service and its versions."""
 
     fault: Fault
-    a_second: float = 119.0
+    requests_per_second: float = 119.0
     duration: float = 12.0
     routes: tuple[str, ...] = ("a", "b", "c")
-    # Part of all requests that fail on any version.
-    usual_failures: float = 0.0
+    # Share of the requests that fail on every version.
+    baseline_failures: float = 0.0
     new_count: int = 30
     old_count: int = 30
-    # From the order until the new upstreams are there, in seconds.
-    boot: float = 1.0
-    # The same for other versions, e.g. a crash of theirs.
+    # Time from the order until the new upstreams are available.
+    boot_seconds: float = 1.0
+    # Fault of the old versions, such as a crash.
     old_fault: Fault = lambda request, rng: 1.0
 
 
 @dataclass
 class Result:
-    """What became of a roll-out."""
+    """Outcome of a simulated roll-out."""
 
     rollout: Rollout
     exposed: int = 0
     total: int = 0
-    # Requests on the new version later than so long after its 50th bad answer.
+    # Requests to the new version over 2 seconds after its 50th bad answer.
     late: int = 0
-    # From the first bad answer until the verdict, in seconds.
+    # Seconds from the first bad answer to the verdict.
     verdict_seconds: float = 0.0
 
     @property
     def allowed(self) -> float:
-        """Requests that a bad version may have had."""
+        """Largest allowed number of requests to a bad version."""
         return 0.1 * self.total + 50
 
     @property
     def seconds(self) -> float:
-        """From the order until the decision."""
+        """Seconds from the order to the decision."""
         return self.rollout.changed_at
 
 
-def play(scene: Scene, seed: int) -> Result:
-    """Return what becomes of one roll-out."""
+def simulate(scenario: Scenario, seed: int) -> Result:
+    """Simulate one roll-out."""
     rng = random.Random(seed)
-    rollout = Rollout("s", 1, "v2", scene.duration, 0.0, 0.0)
+    rollout = Rollout("s", 1, "v2", scenario.duration, 0.0, 0.0)
     result = Result(rollout)
     known = Outcomes()
     reports: list[tuple[float, str, str, float | None]] = []
-    told: list[tuple[float, float]] = [(-TELL_SECONDS, 0.0)]
+    sent_shares: list[tuple[float, float]] = [(-PROPAGATION_SECONDS, 0.0)]
     bad_times: list[float] = []
     before = Outcomes()
     time = 0.0
-    while time < scene.duration:
+    while time < scenario.duration:
         time += STEP_SECONDS
-        share = [each for at, each in told if at + TELL_SECONDS <= time][-1]
-        count = int(scene.a_second * STEP_SECONDS + rng.random())
+        share = [each for at, each in sent_shares if at + PROPAGATION_SECONDS <= time][
+            -1
+        ]
+        count = int(scenario.requests_per_second * STEP_SECONDS + rng.random())
         for _ in range(count):
             result.total += 1
-            route = rng.choice(scene.routes)
+            route = rng.choice(scenario.routes)
             is_new = rng.random() < share
-            number = rng.randrange(scene.new_count if is_new else scene.old_count)
+            number = rng.randrange(scenario.new_count if is_new else scenario.old_count)
             request = Request(route, time, result.exposed, share, number)
-            fault = scene.fault if is_new else scene.old_fault
+            fault = scenario.fault if is_new else scenario.old_fault
             factor = fault(request, rng)
-            if rng.random() < scene.usual_failures:
+            if rng.random() < scenario.baseline_failures:
                 factor = None
             if is_new:
                 result.exposed += 1
@@ -128,9 +131,9 @@
         outcomes = known.of_new().total
         situation = Situation(
             now=time,
-            new_count=scene.new_count if time >= scene.boot else 0,
-            old_count=scene.old_count,
-            needed=0.5 * scene.old_count,
+            new_count=scenario.new_count if time >= scenario.boot_seconds else 0,
+            old_count=scenario.old_count,
+            needed=0.5 * scenario.old_count,
             verdict=evaluate(known, before) if outcomes else Verdict(False),
             rate=(outcomes + known.of_old().total) / time,
             outcomes=outcomes,
@@ -149,7 +152,7 @@
             reason=move.reason,
             step=move.step,
         )
-        told.append((time, move.share))
+        sent_shares.append((time, move.share))
         if move.state is RolloutState.ROLLED_BACK and bad_times:
             result.verdict_seconds = time - bad_times[0]
     result.rollout = rollout
--- a/tests/rollouts/test_calls.py
+++ b/tests/rollouts/test_calls.py
@@ -1,4 +1,4 @@
-"""Operators' calls for roll-outs, as they come over HTTP."""
+"""Operators' HTTP calls to start and read roll-outs."""
 
 import json
 
@@ -36,7 +36,7 @@
             assert await read(control) == (200, {"state": "running", "to": "v2"})
 
 
-async def test_statuses(autojump_clock):
+async def test_response_statuses(autojump_clock):
     async with open_world() as world:
         first, other = list(world.controls.values())[:2]
         assert (await read(first))[0] == 404
@@ -64,7 +64,7 @@
         b'{"service":"plain","to":"v2","duration_s":1e999}',
     ],
 )
-async def test_what_is_no_order_is_refused_with_a_reason(autojump_clock, body):
+async def test_invalid_order_is_refused_with_a_reason(autojump_clock, body):
     async with open_world() as world:
         control = world.controls["c0:1"]
         status, answer = await call(control, b"POST", "/-/Rollouts.Start", body)
@@ -73,7 +73,7 @@
         assert (await read(control))[0] == 404
 
 
-async def test_host_without_contact_is_not_sure(autojump_clock):
+async def test_isolated_control_host_answers_unavailable(autojump_clock):
     async with open_world() as world:
         await start(world.controls["c0:1"])
         world.cut_off("c1:1")
--- a/tests/rollouts/test_hosts.py
+++ b/tests/rollouts/test_hosts.py
@@ -1,4 +1,8 @@
-"""Roll-outs by real control and entry hosts in virtual time."""
+"""Roll-outs with real control and entry hosts in virtual time.
+
+Guards against bad versions that get too many requests, good ones that miss their
+deadline, and decisions that are lost or changed by failures of hosts.
+"""
 
 import random
 from contextlib import asynccontextmanager
@@ -14,12 +18,13 @@
 
 ENTRIES = 12
 CONTROLS = 6
-# Requests a second, and upstreams of each version.
+# Requests per second.
 RATE = 60.0
+# Upstreams of each version.
 UPSTREAMS = 3
 DURATION = 12.0
 ALLOWED = 0.1 * RATE * DURATION + 50
-# Time behind the 50th bad answer from which nothing new goes to a bad version.
+# Time after the 50th bad answer from which a bad version gets no requests.
 STOPPED_SECONDS = 2.0
 
 
@@ -30,8 +35,9 @@
         self.world = world
         self.rng = random.Random(seed)
         self.answers = []
-        # Times of requests by version, and of bad answers on the new one.
+        # Times of requests by version.
         self.sent = {"v1": [], "v2": []}
+        # Times of bad answers of the new version.
         self.bad = []
         self.is_bad = lambda: False
         self.delay = 0.02
@@ -139,7 +145,7 @@
 
 
 async def start(release, boot=1.0):
-    """Order the roll-out, and let its upstreams appear."""
+    """Order the roll-out, then announce its upstreams."""
     await release.order()
     await trio.sleep(boot)
     await release.announce("v2")
@@ -160,7 +166,7 @@
 
 
 @pytest.mark.parametrize("share", [0.2, 1.0])
-async def test_bad_version_is_taken_back(autojump_clock, share):
+async def test_bad_version_is_rolled_back(autojump_clock, share):
     async with open_release() as release:
         release.is_bad = lambda: release.rng.random() < share
         await start(release)
@@ -172,7 +178,9 @@
 
 async def test_version_that_turns_bad_with_all_requests(autojump_clock):
     async with open_release() as release:
-        release.is_bad = lambda: is_full(release) and release.rng.random() < 0.5
+        release.is_bad = lambda: (
+            gets_all_requests(release) and release.rng.random() < 0.5
+        )
         await start(release)
         rollout = await release.wait_end()
         assert rollout.state is RolloutState.ROLLED_BACK
@@ -180,8 +188,8 @@
         check_exposure(release)
 
 
-def is_full(release):
-    """Whether the latest requests all went to the new version."""
+def gets_all_requests(release):
+    """Whether all recent requests went to the new version."""
     now = trio.current_time()
     recent = [time for time in release.sent["v1"] if time > now - 0.1]
     return len(release.sent["v2"]) > 20 and not recent
@@ -219,7 +227,7 @@
         cut_at = trio.current_time()
         await trio.sleep(6.0)
         assert max(release.sent["v2"]) <= cut_at + STOPPED_SECONDS
-        # The others go on.
+        # The old version still gets requests.
         assert [time for time in release.sent["v1"] if time > cut_at + 5.0]
 
 
@@ -257,11 +265,11 @@
             await release.world.start_control(name, seeds, is_first=False, losses=2)
         with trio.fail_after(10.0):
             assert await release.read() == before
-        # A host that starts with nothing keeps to it.
+        # A new entry host learns the decision.
         late = await release.world.start_entry("late:1", seeds)
         await trio.sleep(2.0)
-        held = late.versions.get("plain")
-        assert (held.state, held.to) == (before.state, "v2")
+        stored = late.versions.get("plain")
+        assert (stored.state, stored.to) == (before.state, "v2")
 
 
 async def test_unknown_service_is_refused(autojump_clock):
@@ -275,8 +283,11 @@
         assert caught.value.code is Code.UNKNOWN_NAME
 
 
-async def test_control_host_without_a_leader_tells_of_roll_outs(autojump_clock):
-    """Right after a loss of power, upstreams of both versions are told of at once."""
+async def test_control_host_without_a_leader_sends_roll_outs(autojump_clock):
+    """After all control hosts restart, roll-outs are sent before an election.
+
+    Otherwise an entry host would use upstreams of both versions.
+    """
     async with open_release() as release:
         release.is_bad = lambda: True
         await start(release)
--- a/tests/rollouts/test_machine.py
+++ b/tests/rollouts/test_machine.py
@@ -1,4 +1,4 @@
-"""Roll-outs in the log: repeats, races, ends, snapshots."""
+"""The roll-out state machine: repeated and conflicting commands, snapshots."""
 
 import pytest
 from hypothesis import given, settings, strategies as st
@@ -11,7 +11,7 @@
 
 
 class Log:
-    """Machines of two control hosts, fed with the same commands."""
+    """State machines of two control hosts that apply the same commands."""
 
     def __init__(self):
         self.machines = [RolloutMachine(), RolloutMachine()]
@@ -43,7 +43,7 @@
         )
 
     @property
-    def held(self) -> Rollout:
+    def latest(self) -> Rollout:
         return self.machines[0].get("s")
 
 
@@ -52,7 +52,7 @@
     return Log()
 
 
-def test_order_that_is_sent_again_changes_nothing(log):
+def test_repeated_order_changes_nothing(log):
     first = log.start("v2").record
     again = log.start("v2", at=3.0)
     assert (again.is_refused, again.record) == (False, first)
@@ -65,21 +65,21 @@
     assert not log.start("v3", service="t").is_refused
 
 
-def test_order_that_is_sent_again_after_its_end(log):
+def test_repeated_order_after_a_rollback(log):
     log.start("v2")
     log.move(1, RolloutState.ROLLED_BACK)
     assert not log.start("v2", at=6.0).is_refused
-    assert log.held.state is RolloutState.ROLLED_BACK
-    # A second try.
+    assert log.latest.state is RolloutState.ROLLED_BACK
+    # An order after the resend time is a new attempt.
     log.start("v2", at=8.0)
-    assert (log.held.number, log.held.state) == (2, RolloutState.RUNNING)
+    assert (log.latest.number, log.latest.state) == (2, RolloutState.RUNNING)
 
 
 def test_version_that_has_succeeded_stays(log):
     log.start("v2")
     log.move(1, RolloutState.SUCCEEDED, 1.0)
     log.start("v2", at=100.0)
-    assert (log.held.number, log.held.state) == (1, RolloutState.SUCCEEDED)
+    assert (log.latest.number, log.latest.state) == (1, RolloutState.SUCCEEDED)
 
 
 @pytest.mark.parametrize("number", [0, 1, 3])
@@ -87,9 +87,9 @@
     log.start("v2")
     log.move(1, RolloutState.ROLLED_BACK)
     log.start("v3", at=8.0)
-    before = log.held
+    before = log.latest
     assert log.move(number, RolloutState.SUCCEEDED, 1.0).is_refused
-    assert log.held == before
+    assert log.latest == before
 
 
 _STEPS = st.one_of(
@@ -101,7 +101,7 @@
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(st.lists(_STEPS, max_size=20))
-def test_what_is_decided_stays_over_lost_disks(steps):
+def test_decisions_survive_lost_disks(steps):
     log = Log()
     decided = {}
     for kind, value, number in steps:
@@ -110,17 +110,17 @@
         elif kind == "move":
             log.move(number, value, at=float(number))
         else:
-            # One host has lost its disk and gets the other's snapshot.
+            # One host loses its disk and restores the other's snapshot.
             data = log.machines[0].snapshot()
             log.machines[1] = RolloutMachine()
             log.machines[1].restore(data)
             assert log.machines[1].snapshot() == data
-        held = log.held
-        if held is None:
+        latest = log.latest
+        if latest is None:
             continue
-        assert decided.setdefault((held.number, held.to), held.state) in (
-            held.state,
+        assert decided.setdefault((latest.number, latest.to), latest.state) in (
+            latest.state,
             RolloutState.RUNNING,
         )
-        decided[held.number, held.to] = held.state
-        assert held.number >= max(each for each, _ in decided)
+        decided[latest.number, latest.to] = latest.state
+        assert latest.number >= max(each for each, _ in decided)
--- a/tests/rollouts/test_observer.py
+++ b/tests/rollouts/test_observer.py
@@ -1,4 +1,4 @@
-"""What an entry host concludes by itself, and what it tells the judge."""
+"""Reports of an entry host to the judge, and decisions without the judge."""
 
 import pytest
 import trio
@@ -13,13 +13,13 @@
 OLD = Announcement("o", "s", "", "z1", software="v1")
 
 
-class Scene:
-    """An entry host, and a control host that judges or doesn't."""
+class Harness:
+    """An entry host's observer, and a control host that may be the judge."""
 
     def __init__(self, nursery):
         timers = FakeTimers()
         self.network = FakeNetwork()
-        self.told = []
+        self.reports = []
         self.is_judge = True
         peers = FakePeers("e", self.network, timers, nursery)
         judge = FakePeers("c", self.network, timers, nursery)
@@ -31,7 +31,7 @@
         nursery.start_soon(self.observer.run)
 
     async def on_evidence(self, message, sender):
-        self.told.append(message)
+        self.reports.append(message)
         return pb.RolloutEvidenceReply(is_judge=self.is_judge)
 
     def end(self, upstream, seconds=0.02):
@@ -43,51 +43,51 @@
 
 
 @pytest.fixture
-async def scene(autojump_clock):
+async def harness(autojump_clock):
     async with trio.open_nursery() as nursery:
-        yield Scene(nursery)
+        yield Harness(nursery)
         nursery.cancel_scope.cancel()
 
 
-async def test_nothing_is_judged_before_the_first_acknowledgement(scene):
-    assert not scene.is_judged
+async def test_not_judged_before_the_first_acknowledgement(harness):
+    assert not harness.is_judged
     await trio.sleep(0.5)
-    assert scene.is_judged
+    assert harness.is_judged
 
 
-async def test_judge_that_is_gone_or_no_judge(scene):
+async def test_not_judged_by_a_lost_or_former_judge(harness):
     await trio.sleep(0.5)
-    scene.is_judge = False
+    harness.is_judge = False
     await trio.sleep(2.0)
-    assert not scene.is_judged
-    scene.is_judge = True
+    assert not harness.is_judged
+    harness.is_judge = True
     await trio.sleep(0.5)
-    assert scene.is_judged
-    scene.network.isolate("c")
+    assert harness.is_judged
+    harness.network.isolate("c")
     await trio.sleep(2.5)
-    assert not scene.is_judged
+    assert not harness.is_judged
 
 
-async def test_new_versions_outcomes_are_told_soon_and_whole(scene):
+async def test_new_version_outcomes_are_reported_soon_and_completely(harness):
     await trio.sleep(0.5)
-    scene.end(OLD)
-    scene.end(NEW, None)
+    harness.end(OLD)
+    harness.end(NEW, None)
     await trio.sleep(0.15)
-    counts = {each.upstream: each for each in scene.told[-1].outcomes}
+    counts = {each.upstream: each for each in harness.reports[-1].outcomes}
     assert counts["n"].failed == 1
     assert list(counts[""].answered)[1] == 1
-    assert scene.told[-1].in_flight == 2
+    assert harness.reports[-1].in_flight == 2
 
 
-async def test_failures_in_a_row_stop_it_here_for_a_while(scene):
+async def test_consecutive_failures_suspend_the_new_version(harness):
     await trio.sleep(0.5)
     for _ in range(3):
-        assert scene.is_judged
-        scene.end(NEW, None)
-    assert not scene.is_judged
-    # Others' failures don't.
+        assert harness.is_judged
+        harness.end(NEW, None)
+    assert not harness.is_judged
+    # Failures of the old version don't suspend the new one.
     await trio.sleep(2.5)
-    assert scene.is_judged
+    assert harness.is_judged
     for _ in range(5):
-        scene.end(OLD, None)
-    assert scene.is_judged
+        harness.end(OLD, None)
+    assert harness.is_judged
--- a/tests/rollouts/test_versions.py
+++ b/tests/rollouts/test_versions.py
@@ -1,4 +1,4 @@
-"""Which version a request goes to, as one host decides it."""
+"""Selection of the version for each request on one host."""
 
 import pytest
 
@@ -16,7 +16,7 @@
         self.is_judged = True
         self.split = VersionSplit(lambda: self.time, lambda rollout: self.is_judged)
 
-    def see(self, upstreams):
+    def observe(self, upstreams):
         for each in upstreams:
             self.split.observe_upstream(each)
 
@@ -36,7 +36,7 @@
 @pytest.fixture
 def host():
     host = Host()
-    host.see(OLD + NEW)
+    host.observe(OLD + NEW)
     return host
 
 
@@ -45,7 +45,7 @@
     assert host.share() == pytest.approx(0.2, abs=0.04)
 
 
-def test_nothing_goes_to_a_version_that_nobody_judges(host):
+def test_version_that_is_not_judged_gets_no_requests(host):
     host.update(share=0.2)
     host.is_judged = False
     assert host.share() == 0.0
@@ -67,7 +67,7 @@
     assert len(before) == 300
 
 
-def test_what_the_new_version_failed_goes_to_the_others(host):
+def test_request_failed_by_the_new_version_is_retried_on_others(host):
     host.update(share=1.0)
     assert host.select() == {"v2"}
     assert host.select(tried={NEW[0].key}) == {"v1"}
@@ -86,7 +86,7 @@
     assert host.select() == expected
 
 
-def test_late_word_of_a_roll_out_changes_nothing(host):
+def test_stale_state_of_a_roll_out_is_ignored(host):
     host.update(index=7, state=RolloutState.ROLLED_BACK)
     host.update(index=3, share=0.5)
     assert host.share() == 0.0
@@ -95,11 +95,11 @@
 def test_version_that_appears_before_its_order_waits(host):
     host.time += 10.0
     other = Announcement("x", "s", "", "z1", software="v9")
-    host.see([other])
+    host.observe([other])
     everything = [*OLD, other]
     assert host.select(upstreams=everything) == {"v1"}
-    # It's all there is.
+    # The only version is used even if it is new.
     assert host.select(upstreams=[other]) == {"v9"}
-    # No order comes: it's used as others are.
+    # Without an order, the new version is used after a delay.
     host.time += 4.0
     assert host.select(upstreams=everything) == {"v1", "v9"}
--- a/tests/routing/sites.py
+++ b/tests/routing/harness.py
@@ -1,4 +1,4 @@
-"""A router over upstreams that a test sets, on virtual time."""
+"""A router in virtual time, with upstreams that the test sets."""
 
 import random
 from dataclasses import replace
@@ -21,32 +21,32 @@
 from pepperstep.routing import Router, RoutingSettings
 
 KEY = ModelKey("pool-7b", "", "1")
-NONE = frozenset()
+NO_UPSTREAMS = frozenset()
 
 
-class View:
-    """Upstreams as the test sets them."""
+class FakeUpstreamView:
+    """A view of upstreams that the test sets."""
 
     def __init__(self):
         self.upstreams: dict[str, Upstream] = {}
 
     def set(self, name: str, **changes) -> None:
-        """Add an upstream, or announce a change of it."""
+        """Add an upstream, or change some of its fields."""
         before = self.upstreams.get(name) or Upstream(
             name, 1, name, UpstreamKind.ENGINE, name, "makati-a", models={KEY}, slots=4
         )
         self.upstreams[name] = replace(before, **changes)
 
     def report(self, name: str, running: int, waiting: int = 0, **changes) -> None:
-        """Announce a load."""
+        """Set an upstream's load report."""
         self.set(name, load=replace(Load(running, waiting), **changes))
 
     def candidates(self) -> list[Upstream]:
-        """Return those that aren't leaving."""
+        """Return the upstreams that aren't leaving."""
         return [each for each in self.upstreams.values() if not each.is_leaving]
 
 
-class Site:
+class RouterHarness:
     """One entry host's router, with engines a, b, c, ..."""
 
     def __init__(
@@ -59,7 +59,7 @@
         **settings,
     ):
         self.timers = FakeTimers()
-        self.view = View()
+        self.view = FakeUpstreamView()
         for name in "abcdefghijkl"[:engines]:
             self.view.set(name, slots=slots)
         configuration = Configuration(
@@ -81,7 +81,7 @@
         self._count = 0
 
     def request(self, **changes) -> Request:
-        """Return the next request."""
+        """Return a new request with an id of its own."""
         self._count += 1
         values = {
             "id": f"r{self._count}",
@@ -97,10 +97,10 @@
         return Request(**(values | changes))
 
     async def place(self, request: Request | None = None, **options):
-        """Return a placement that must be there at once."""
+        """Return a placement, which must be available at once."""
         with trio.fail_after(0.001):
             request = request or self.request()
-            return await self.router.acquire(request, 0, NONE, **options)
+            return await self.router.acquire(request, 0, NO_UPSTREAMS, **options)
 
     async def answer(
         self,
@@ -109,9 +109,9 @@
         first: float = 0.05,
         **options,
     ) -> str:
-        """Answer a request whole after `hold` seconds; return its upstream."""
+        """Answer a request completely after `hold` seconds; return its upstream."""
         request = request or self.request()
-        placement = await self.router.acquire(request, 0, NONE, **options)
+        placement = await self.router.acquire(request, 0, NO_UPSTREAMS, **options)
         self.started.append(request.id)
         with placement:
             await trio.sleep(first)
@@ -120,8 +120,8 @@
             placement.record_answer(EndMark("", request.max_tokens, "length"))
         return placement.upstream.name
 
-    async def fail(self, name: str, excluded=NONE, **options) -> str:
-        """Run one attempt, which is lost if it comes to `name`."""
+    async def fail(self, name: str, excluded=NO_UPSTREAMS, **options) -> str:
+        """Run one attempt, which is lost if it is placed on `name`."""
         request = options.pop("request", None) or self.request()
         placement = await self.router.acquire(request, 0, excluded, **options)
         with placement:
--- a/tests/routing/test_queue.py
+++ b/tests/routing/test_queue.py
@@ -1,4 +1,8 @@
-"""Fairness, limits, early refusals and deadlines."""
+"""Fair queueing, concurrency limits, admission control and deadlines.
+
+Faults guarded against: a large workspace or a higher class starves others, requests
+are accepted that can't be answered in time, and limits don't follow latency.
+"""
 
 from collections import Counter
 
@@ -12,36 +16,38 @@
 from pepperstep.routing.limits import LIMITS, AdaptiveLimit, LatencySample
 from pepperstep.routing.queue import FairQueue, Waiter, order_fairly
 from pepperstep.routing.work import WorkEstimate
-from tests.routing.sites import NONE, Site
+from tests.routing.harness import NO_UPSTREAMS, RouterHarness
 
 BATCH = {"priority": Priority.BATCH, "workspace": "large"}
 REPLY = {"priority": Priority.INTERACTIVE, "workspace": "desk"}
 
 
-async def started_of(site: Site, waves: list[tuple[int, dict]], hold: float = 1.0):
-    """Ask in waves at once; return the requests in the order of their starts."""
+async def run_waves(
+    harness: RouterHarness, waves: list[tuple[int, dict]], hold: float = 1.0
+):
+    """Send waves of requests; return the requests in the order of their starts."""
     requests = {}
     async with trio.open_nursery() as nursery:
         for count, changes in waves:
             for _ in range(count):
-                request = site.request(**changes)
+                request = harness.request(**changes)
                 requests[request.id] = request
-                nursery.start_soon(site.answer, request, hold)
+                nursery.start_soon(harness.answer, request, hold)
             await trio.sleep(0.001)
-    return [requests[request_id] for request_id in site.started]
+    return [requests[request_id] for request_id in harness.started]
 
 
 @pytest.mark.parametrize(
     ("waves", "count", "name", "minimum", "baseline"),
     [
-        # Replies overtake the reviews that wait.
+        # Interactive requests overtake waiting batch requests.
         ([(20, BATCH), (4, REPLY)], 6, "desk", 4, {"queue": "fifo"}),
-        # A small workspace gets its half beside a large one.
+        # A small workspace gets half of the starts beside a large one.
         (
             [(40, BATCH), (10, BATCH | {"workspace": "small"})],
             *(22, "small", 9, {"queue": "fifo"}),
         ),
-        # Reviews get some of the starts beside replies that keep coming.
+        # Batch requests get some starts beside constant interactive load.
         (
             [(2, REPLY), (10, BATCH), (60, REPLY)],
             *(50, "large", 2, {"lower_class_share": 0.0}),
@@ -50,31 +56,38 @@
 )
 async def test_starts_are_fair(autojump_clock, waves, count, name, minimum, baseline):
     for changes, is_fair in (({}, True), (baseline, False)):
-        site = Site(engines=1, slots=2, refuses_early=False, **changes)
-        started = await started_of(site, waves)
+        harness = RouterHarness(engines=1, slots=2, refuses_early=False, **changes)
+        started = await run_waves(harness, waves)
         got = Counter(each.workspace for each in started[:count])[name]
         assert (got >= minimum) is is_fair
 
 
-async def test_weights_and_most_in_flight(autojump_clock):
+async def test_weights_and_in_flight_limits(autojump_clock):
     workspaces = {
         "large": Workspace(weight=3.0),
         "small": Workspace(weight=1.0, max_in_flight=2),
     }
-    site = Site(engines=1, slots=8, workspaces=workspaces, refuses_early=False)
+    harness = RouterHarness(
+        engines=1, slots=8, workspaces=workspaces, refuses_early=False
+    )
     small = {"workspace": "small", "priority": Priority.BATCH}
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(started_of, site, [(40, BATCH), (40, small)])
+        nursery.start_soon(run_waves, harness, [(40, BATCH), (40, small)])
         await trio.sleep(1.5)
-        assert Counter(site.router._dispatcher._in_flight) == {"large": 6, "small": 2}
+        assert Counter(harness.router._dispatcher._in_flight) == {
+            "large": 6,
+            "small": 2,
+        }
         nursery.cancel_scope.cancel()
 
 
-def waiter_of(workspace: str, cost: float) -> Waiter:
+def make_waiter(workspace: str, cost: float) -> Waiter:
     request = Request(
         "r", workspace, RequestKind.CHAT, "pool", Priority.STANDARD, deadline=0.0
     )
-    return Waiter(WorkEstimate(request, 1, 1, 1.0, [], 0.0), NONE, cost, 0.0, 0.0)
+    return Waiter(
+        WorkEstimate(request, 1, 1, 1.0, [], 0.0), NO_UPSTREAMS, cost, 0.0, 0.0
+    )
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
@@ -87,7 +100,7 @@
     queue = FairQueue(order_fairly, lambda name: float(weights[name]), 0.05)
     for name in weights:
         for _ in range(100):
-            queue.push(waiter_of(name, cost_of[name]))
+            queue.push(make_waiter(name, cost_of[name]))
     got = Counter(dict.fromkeys(weights, 0.0))
     for _ in range(100):
         head = next(queue.heads())
@@ -99,11 +112,11 @@
         assert spread <= maximum + 1e-9
 
 
-async def refusal_of(site: Site, request: Request) -> Failure | None:
-    """Return the refusal, which must come at once."""
+async def find_refusal(harness: RouterHarness, request: Request) -> Failure | None:
+    """Return the failure of the admission check, which must come at once."""
     before = trio.current_time()
     try:
-        site.router.check(request)
+        harness.router.check(request)
     except Failure as failure:
         assert trio.current_time() == before
         return failure
@@ -111,87 +124,89 @@
 
 
 @pytest.mark.parametrize("backlog", [0, 12])
-async def test_hopeless_requests_are_refused_with_a_time_to_return(
-    autojump_clock, backlog
-):
-    site = Site(engines=1, slots=4)
+async def test_late_requests_are_rejected_with_retry_after(autojump_clock, backlog):
+    harness = RouterHarness(engines=1, slots=4)
     async with trio.open_nursery() as nursery:
         for _ in range(4):
-            await site.answer(hold=1.0)
-        # Four run a second each, the backlog waits.
+            await harness.answer(hold=1.0)
+        # Four requests run for a second each; the backlog waits.
         for _ in range(4 + backlog if backlog else 0):
-            nursery.start_soon(site.answer, site.request(), 1.0)
+            nursery.start_soon(harness.answer, harness.request(), 1.0)
         await trio.sleep(0.01)
-        wall = site.timers.wall()
-        soon = site.request(deadline=wall + 2.5)
-        reply = site.request(**REPLY)
-        late = site.request(deadline=wall + 60)
-        refusals = [await refusal_of(site, each) for each in (soon, reply, late)]
+        wall = harness.timers.wall()
+        soon = harness.request(deadline=wall + 2.5)
+        reply = harness.request(**REPLY)
+        late = harness.request(deadline=wall + 60)
+        refusals = [await find_refusal(harness, each) for each in (soon, reply, late)]
     codes = [refusal and refusal.code for refusal in refusals]
-    # The reply overtakes the backlog.
+    # The interactive request overtakes the backlog.
     expected = [Code.OVERLOADED if backlog else None, None, None]
     assert codes == expected
     if backlog:
-        # 13 wait for 4 places of a second; back when 2.5 s are enough.
+        # 13 requests wait for 4 slots of a second each; retry when 2.5 s suffice.
         assert 0.5 < refusals[0].retry_after < 3.5
         assert refusals[0].execution is Execution.NOT_RUN
 
 
-async def test_reply_is_refused_at_a_multiple_of_its_target(autojump_clock):
-    site = Site(engines=1, slots=4)
-    await site.answer(site.request(**REPLY), hold=1.0)
+async def test_interactive_request_is_rejected_at_a_multiple_of_its_target(
+    autojump_clock,
+):
+    harness = RouterHarness(engines=1, slots=4)
+    await harness.answer(harness.request(**REPLY), hold=1.0)
     async with trio.open_nursery() as nursery:
         is_refused = []
         for _ in range(24):
-            request = site.request(**REPLY)
-            is_refused.append(await refusal_of(site, request) is not None)
+            request = harness.request(**REPLY)
+            is_refused.append(await find_refusal(harness, request) is not None)
             if not is_refused[-1]:
-                nursery.start_soon(site.answer, request, 1.0)
+                nursery.start_soon(harness.answer, request, 1.0)
                 await trio.sleep(0.001)
-    # Five run a second each; four times the target of 0.54 s lets ten wait.
+    # Five run for a second each; four times the target of 0.54 s lets ten wait.
     assert 14 <= is_refused.index(True) <= 16
     assert all(is_refused[16:])
 
 
 async def test_full_queue_refuses_one_workspace(autojump_clock):
-    site = Site(engines=1, slots=1, limits=Limits(max_queue=3))
+    harness = RouterHarness(engines=1, slots=1, limits=Limits(max_queue=3))
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(site.answer)
+        nursery.start_soon(harness.answer)
         await trio.sleep(0.01)
         for _ in range(2):
-            nursery.start_soon(site.answer)
+            nursery.start_soon(harness.answer)
         await trio.sleep(0.01)
-        # Accepted, but not in the queue yet.
-        assert await refusal_of(site, site.request()) is None
-        refusal = await refusal_of(site, site.request())
+        # This request is admitted, but not queued yet.
+        assert await find_refusal(harness, harness.request()) is None
+        refusal = await find_refusal(harness, harness.request())
         assert (refusal.code, refusal.execution) == (Code.QUEUE_FULL, Execution.NOT_RUN)
         assert refusal.retry_after > 0
-        assert await refusal_of(site, site.request(workspace="other")) is None
+        assert await find_refusal(harness, harness.request(workspace="other")) is None
 
 
-async def test_idle_places_are_never_refused(autojump_clock):
-    site = Site(engines=1, slots=2)
+async def test_request_is_never_rejected_with_free_slots(autojump_clock):
+    harness = RouterHarness(engines=1, slots=2)
     for _ in range(10):
-        await site.answer(hold=30.0)
-    assert await refusal_of(site, site.request(**REPLY, max_tokens=16_000)) is None
+        await harness.answer(hold=30.0)
+    assert (
+        await find_refusal(harness, harness.request(**REPLY, max_tokens=16_000)) is None
+    )
 
 
-async def test_what_cannot_be_in_time_is_answered_at_once(autojump_clock):
-    site = Site(engines=1, slots=1)
-    # Answers are always whole, of 50 tokens in 1 s at least.
+async def test_attempt_that_cannot_meet_its_deadline_fails_early(autojump_clock):
+    harness = RouterHarness(engines=1, slots=1)
+    # All answers have the full 50 tokens and take at least 1 s.
     for _ in range(10):
-        await site.answer(hold=1.0)
+        await harness.answer(hold=1.0)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(site.answer, site.request(), 10.0)
+        nursery.start_soon(harness.answer, harness.request(), 10.0)
         await trio.sleep(0.01)
-        deadline = site.timers.wall() + 4.0
+        deadline = harness.timers.wall() + 4.0
         before = trio.current_time()
         with pytest.raises(Failure) as caught:
-            await site.answer(site.request(deadline=deadline), attempt=2)
+            await harness.answer(harness.request(deadline=deadline), attempt=2)
         assert caught.value.code is Code.DEADLINE_EXPIRED
         assert caught.value.execution is Execution.MAY_HAVE_RUN
         assert 2.9 < trio.current_time() - before < 3.2
-        assert site.router.status.waiting == 0
+        assert harness.router.status.waiting == 0
 
 
 @pytest.mark.parametrize("policy", list(LIMITS))
@@ -199,7 +214,7 @@
     limit = AdaptiveLimit(LIMITS[policy], minimum=4, maximum=16, period=0.5)
     values = []
     for step in range(200):
-        # Latency grows with what is in flight, up to step 150.
+        # Latency grows with the attempts in flight until step 150.
         in_flight = limit.value
         measured = 0.02 * max(1.0, in_flight / 8) if step < 150 else 0.02
         limit.update(LatencySample(measured, 0.02), 1.2, now=step * 0.6)
@@ -213,28 +228,30 @@
 
 
 async def test_slow_steps_lower_an_upstreams_limit(autojump_clock):
-    site = Site(engines=1, slots=16)
-    placement = await site.place()
+    harness = RouterHarness(engines=1, slots=16)
+    placement = await harness.place()
     with placement:
         for step in range(200):
             await trio.sleep(0.02 if step < 50 else 0.1)
             placement.record_tokens(1)
-    assert site.router.status.upstreams[0].limit < 8
+    assert harness.router.status.upstreams[0].limit < 8
 
 
 async def test_late_timers_lower_the_hosts_limit(autojump_clock):
-    site = Site(engines=1, slots=16, max_host_in_flight=4, min_host_in_flight=1)
+    harness = RouterHarness(
+        engines=1, slots=16, max_host_in_flight=4, min_host_in_flight=1
+    )
     async with trio.open_nursery() as nursery:
-        await nursery.start(site.router.run)
+        await nursery.start(harness.router.run)
         await trio.sleep(5)
-        assert site.router.status.host_limit == 4
+        assert harness.router.status.host_limit == 4
         for _ in range(30):
-            site.timers.pause()
+            harness.timers.pause()
             await trio.sleep(0.4)
-            site.timers.resume()
+            harness.timers.resume()
             await trio.sleep(0.1)
-        assert site.router.status.host_limit < 2
-        await site.place()
+        assert harness.router.status.host_limit < 2
+        await harness.place()
         with pytest.raises(trio.TooSlowError):
-            await site.place()
+            await harness.place()
         nursery.cancel_scope.cancel()
