--- a/src/pepperstep/rollouts/director.py
+++ b/src/pepperstep/rollouts/director.py
@@ -179,7 +179,8 @@
             outcomes=ended,
             outcomes_before=evidence.before.of_new().total,
             in_flight=in_flight,
-            is_informed=has_waited and self._has_majority_evidence(evidence, oldest_at),
+            has_recent_evidence=has_waited
+            and self._has_majority_evidence(evidence, oldest_at),
         )
 
     def _has_majority_evidence(self, evidence: _Evidence, oldest_at: float) -> bool:
--- a/src/pepperstep/rollouts/evaluation.py
+++ b/src/pepperstep/rollouts/evaluation.py
@@ -53,7 +53,7 @@
 def evaluate(outcomes: Outcomes, before: Outcomes | None = None) -> Verdict:
     """Return whether the new version is worse on at least one route.
 
-    Outcomes of a single one of several upstreams are put down to that upstream, not
+    Outcomes of a single one of several upstreams are attributed to that upstream, not
     to the version. `before` holds the outcomes when the share last changed; outcomes
     since then are also tested alone, as a version may turn bad under load.
     """
--- a/src/pepperstep/rollouts/plan.py
+++ b/src/pepperstep/rollouts/plan.py
@@ -79,8 +79,8 @@
     outcomes_before: int = 0
     # Requests in flight at upstreams of other versions.
     in_flight: int = 0
-    # Whether the outcomes are complete; a new leader gets them within a second.
-    is_informed: bool = True
+    # Whether most entry hosts have reported; a new leader waits a second for them.
+    has_recent_evidence: bool = True
 
 
 @dataclass(frozen=True, slots=True)
@@ -101,7 +101,7 @@
     if situation.verdict.is_bad:
         return _roll_back(situation.verdict.reason)
     is_last_moment = situation.now >= _decision_time(rollout)
-    if not situation.is_informed and not is_last_moment:
+    if not situation.has_recent_evidence and not is_last_moment:
         return None
     if rollout.share >= 1.0:
         return _finish(rollout, situation, bound, is_last_moment)
@@ -140,11 +140,12 @@
         return step.share
     requests = situation.rate * rollout.duration
     allowed = bound.share * requests + bound.allowance
-    seen = (
+    step_requests = (
         situation.rate * step.time_fraction * (_decision_time(rollout) - situation.now)
     )
     return min(
-        step.exposure_fraction * allowed / max(seen, 1.0), _MAX_EXPOSURE_BOUND_SHARE
+        step.exposure_fraction * allowed / max(step_requests, 1.0),
+        _MAX_EXPOSURE_BOUND_SHARE,
     )
 
 
@@ -171,11 +172,11 @@
 
 
 def _has_enough_outcomes(
-    least: int, rollout: Rollout, situation: Situation, bound: ExposureBound
+    minimum: int, rollout: Rollout, situation: Situation, bound: ExposureBound
 ) -> bool:
     """Whether there are enough outcomes, or all requests fit in the allowance."""
     all_requests = situation.rate * rollout.duration
-    return situation.outcomes >= least or all_requests <= bound.allowance
+    return situation.outcomes >= minimum or all_requests <= bound.allowance
 
 
 def _roll_back(reason: str) -> Move:
@@ -197,10 +198,12 @@
     """Whether a step has lasted its fraction of the time left at its start."""
     elapsed = situation.now - rollout.changed_at
     steps = _STEPS[rollout.step - 1 :]
-    parts = sum(each.time_fraction for each in steps) + _RESERVE_FRACTION
-    rest = _decision_time(rollout) - rollout.changed_at
-    seconds = rest * steps[0].time_fraction / parts
+    total_fraction = sum(each.time_fraction for each in steps) + _RESERVE_FRACTION
+    remaining = _decision_time(rollout) - rollout.changed_at
+    seconds = remaining * steps[0].time_fraction / total_fraction
     if elapsed < seconds:
         return False
-    seen = situation.outcomes - situation.outcomes_before
-    return seen >= _MIN_STEP_OUTCOMES or elapsed >= _MAX_STEP_EXTENSION * seconds
+    new_outcomes = situation.outcomes - situation.outcomes_before
+    return (
+        new_outcomes >= _MIN_STEP_OUTCOMES or elapsed >= _MAX_STEP_EXTENSION * seconds
+    )
--- a/src/pepperstep/routing/admission.py
+++ b/src/pepperstep/routing/admission.py
@@ -14,7 +14,7 @@
 
 _NO_UPSTREAM_RETRY_SECONDS = 1.0
 _MIN_RETRY_SECONDS = 0.1
-# An admitted request that has not been queued by then was abandoned.
+# A request admitted longer ago and not queued since counts as abandoned.
 _ADMITTED_TIMEOUT_SECONDS = 2.0
 _JITTER = 0.5
 # Smallest share of the slots in flight that a class is assumed to get, however
--- a/src/pepperstep/routing/breakers.py
+++ b/src/pepperstep/routing/breakers.py
@@ -25,8 +25,7 @@
         self.state = BreakerState.HEALTHY
         self.ejected_at = 0.0
         self.ejections = 0
-        # Consecutive failures.
-        self.failures = 0
+        self.consecutive_failures = 0
         # Probe requests in flight to a recovering upstream.
         self.probes = 0
         self._backoff = settings.ejection_base
@@ -49,13 +48,13 @@
         self.ejections += 1
         self._return_at = now + self._backoff
         self._backoff = min(2 * self._backoff, self.settings.ejection_cap)
-        self.failures = 0
+        self.consecutive_failures = 0
 
     def restore(self, now: float) -> None:
         """End an ejection after a successful probe."""
         self.state = BreakerState.HEALTHY
         self._healthy_since = now
-        self.failures = 0
+        self.consecutive_failures = 0
 
 
 BreakerPolicy = Callable[[Breaker, bool, float], None]
@@ -68,15 +67,15 @@
 def count_consecutive(breaker: Breaker, is_success: bool, now: float) -> None:
     """Eject after consecutive failures or a failed probe; a success restores."""
     if is_success:
-        breaker.failures = 0
+        breaker.consecutive_failures = 0
         if breaker.state is BreakerState.RECOVERING:
             breaker.restore(now)
         return
-    breaker.failures += 1
+    breaker.consecutive_failures += 1
     if breaker.state is BreakerState.RECOVERING:
         breaker.eject(now)
         return
-    is_enough = breaker.failures >= breaker.settings.breaker_failures
+    is_enough = breaker.consecutive_failures >= breaker.settings.breaker_failures
     if is_enough and breaker.state is BreakerState.HEALTHY:
         breaker.eject(now)
 
--- a/src/pepperstep/routing/tracked.py
+++ b/src/pepperstep/routing/tracked.py
@@ -78,8 +78,8 @@
         what other hosts have started and ended. It may exceed that part only
         while the upstream is known to be far from full.
         """
-        slots = self.limit.value * share
-        own_slots = slots / (self.peer_count + 1)
+        class_slots = self.limit.value * share
+        own_slots = class_slots / (self.peer_count + 1)
         low_load_share = _LOW_LOAD_SHARE
         if share < 1.0:
             # Rounding up would use slots kept free for higher classes.
@@ -87,7 +87,7 @@
             low_load_share = _LOWER_CLASS_LOW_LOAD_SHARE
         if self.in_flight < own_slots:
             return True
-        return self.peer_count > 0 and self.total < low_load_share * slots
+        return self.peer_count > 0 and self.total < low_load_share * class_slots
 
     def record_start(self, tokens: int, now: float) -> None:
         """Count a started attempt of this host with its tokens to prefill."""
--- a/tests/rollouts/test_plan.py
+++ b/tests/rollouts/test_plan.py
@@ -40,7 +40,11 @@
 
 @pytest.mark.parametrize(
     "changes",
-    [{"new_count": 0}, {"new_count": 1, "needed": 60.0}, {"is_informed": False}],
+    [
+        {"new_count": 0},
+        {"new_count": 1, "needed": 60.0},
+        {"has_recent_evidence": False},
+    ],
 )
 def test_no_step_without_upstreams_or_reports(changes):
     assert move(rollout(), **changes) is None
@@ -57,7 +61,7 @@
 @pytest.mark.parametrize("share", [0.0, 0.1, 1.0])
 def test_bad_verdict_rolls_back_at_once(share):
     bad = Verdict(True, 20.0, "failures")
-    end = move(rollout(share=share, step=4), verdict=bad, is_informed=False)
+    end = move(rollout(share=share, step=4), verdict=bad, has_recent_evidence=False)
     assert (end.state, end.share) == (RolloutState.ROLLED_BACK, 0.0)
 
 
@@ -79,7 +83,7 @@
 )
 def test_decision_at_the_last_moment(share, new_count, expected):
     running = rollout(share=share, step=3 if share < 1 else 4)
-    end = move(running, now=11.9, new_count=new_count, is_informed=False)
+    end = move(running, now=11.9, new_count=new_count, has_recent_evidence=False)
     assert end.state is expected
 
 
