--- a/tests/rollouts/test_calls.py
+++ b/tests/rollouts/test_calls.py
@@ -1,4 +1,8 @@
-"""Operators' HTTP calls to start and read roll-outs."""
+"""Operators' HTTP calls to start and read roll-outs.
+
+Guards against control hosts that accept an invalid or conflicting order, or that
+answer without a quorum.
+"""
 
 import json
 
--- a/tests/rollouts/test_machine.py
+++ b/tests/rollouts/test_machine.py
@@ -1,4 +1,7 @@
-"""The roll-out state machine: repeated and conflicting commands, snapshots."""
+"""The roll-out state machine: repeated and conflicting commands, snapshots.
+
+Commands may be committed twice or out of date; a decided roll-out must not change.
+"""
 
 import pytest
 from hypothesis import given, settings, strategies as st
--- a/tests/rollouts/test_observer.py
+++ b/tests/rollouts/test_observer.py
@@ -1,4 +1,7 @@
-"""Reports of an entry host to the judge, and decisions without the judge."""
+"""Reports of an entry host to the judge, and decisions without the judge.
+
+A host that the judge doesn't hear could go on sending requests to a bad version.
+"""
 
 import pytest
 import trio
--- a/tests/rollouts/test_versions.py
+++ b/tests/rollouts/test_versions.py
@@ -1,4 +1,8 @@
-"""Selection of the version for each request on one host."""
+"""Selection of the version for each request on one host.
+
+A wrong selection sends requests to a version that is not evaluated or was rolled back,
+or moves a session between versions.
+"""
 
 import pytest
 
--- a/tests/routing/test_placement.py
+++ b/tests/routing/test_placement.py
@@ -1,4 +1,8 @@
-"""Choice of upstreams, and the estimates of load and prefix caches behind it."""
+"""Choice of upstreams, and the estimates of load and prefix caches behind it.
+
+Wrong estimates send attempts to busy upstreams, let all hosts choose the same one, or
+miss a cached prefix.
+"""
 
 import pytest
 import trio
