--- a/src/pepperstep/requests/driver.py
+++ b/src/pepperstep/requests/driver.py
@@ -184,10 +184,10 @@
                 try:
                     return await self._dispatch(run, placement, plan)
                 except UpstreamRefused as error:
-                    placement.note_refused(error.retry_after)
+                    placement.record_refusal(error.retry_after)
                     raise
                 except UpstreamLost:
-                    placement.note_lost()
+                    placement.record_loss()
                     raise
         except (UpstreamFault, AttemptStopped) as error:
             self._log_failed_attempt(run, placement, error)
@@ -268,7 +268,7 @@
                     if isinstance(chunk, EndMark):
                         check.check_end(chunk)
                         mark = chunk
-                        placement.note_answered(mark)
+                        placement.record_answer(mark)
                         return Outcome(finish=mark.finish)
                     active.last_chunk_at = self._timers.now()
                     self._apply_chunk(active, check, chunk, placement, plan)
@@ -290,7 +290,7 @@
             return
         is_first = not run.tokens
         run.tokens.extend(tokens)
-        placement.note_tokens(len(tokens))
+        placement.record_tokens(len(tokens))
         self._journal.mark_changed(run, is_urgent=is_first)
         if not plan.is_suspect or plan.is_strict:
             return
--- a/src/pepperstep/requests/placing.py
+++ b/src/pepperstep/requests/placing.py
@@ -120,7 +120,7 @@
             placement = await self._acquire(run, plan, [upstream.name])
             if placement.upstream.name == upstream.name:
                 return placement
-            placement.give_back()
+            placement.release()
             self._guard.release_upstream(run, upstream)
             await self._timers.sleep(_POLL_INTERVAL_SECONDS)
 
@@ -140,9 +140,9 @@
                         return placement
                     plan.apply(admission)
             except BaseException:
-                placement.give_back()
+                placement.release()
                 raise
-            placement.give_back()
+            placement.release()
             if plan.is_restricted:
                 return None
             await self._timers.sleep(_POLL_INTERVAL_SECONDS)
--- a/src/pepperstep/rollouts/observer.py
+++ b/src/pepperstep/rollouts/observer.py
@@ -1,4 +1,4 @@
-"""What an entry host sees of a roll-out, and how it tells the judge."""
+"""Counts a roll-out's outcomes on an entry host and reports them."""
 
 from collections.abc import Callable
 
@@ -9,43 +9,45 @@
 from pepperstep.errors import Failure
 from pepperstep.ports import PeerNetwork, Timers
 from pepperstep.proto import rollouts_pb2 as pb
-from pepperstep.rollouts.outcomes import Outcomes, speed_class
+from pepperstep.rollouts.outcomes import Outcomes, latency_bucket
 from pepperstep.rollouts.records import Rollout
 
 __all__ = ["RolloutObserver"]
 
-# Between two messages to the judge, in seconds: where the new version has answered
-# or failed, and else. A bad one that gets all requests is stopped by the first.
-_PERIOD_SECONDS = 0.1
-_IDLE_SECONDS = 0.75
+# Time between two reports while the new version answers or fails requests. It is
+# short so that a bad version that gets all requests is stopped soon.
+_REPORT_PERIOD_SECONDS = 0.1
+# Time between two reports without new outcomes of the new version.
+_IDLE_REPORT_PERIOD_SECONDS = 0.75
 _CALL_SECONDS = 0.5
-# Time since the judge's latest answer after which nobody judges, in seconds.
-_JUDGED_SECONDS = 1.2
-# Requests that failed in a row on a new version after which this host sends it no
-# others for some seconds, whatever the judge knows.
-_MOST_IN_A_ROW = 3
-_STOP_SECONDS = 2.0
+# Age of the latest acknowledged report after which no judge is assumed to be active.
+_ACKNOWLEDGEMENT_TTL_SECONDS = 1.2
+# Consecutive failures of a new version after which this host stops sending it
+# requests for some seconds without waiting for the judge.
+_MAX_CONSECUTIVE_FAILURES = 3
+_SUSPENSION_SECONDS = 2.0
 
 
 class _Observation:
-    """Outcomes of one roll-out on this host."""
+    """Outcomes of one roll-out on this host, and the state of their reports."""
 
     def __init__(self, number: int):
         self.number = number
         self.outcomes = Outcomes()
-        self.failed_in_a_row = 0
-        self.stopped_until = float("-inf")
-        self.is_told = False
-        self.told_at = float("-inf")
-        # When the latest message was made that the judge has acknowledged.
-        self.judged_at = float("-inf")
+        self.consecutive_failures = 0
+        self.suspended_until = float("-inf")
+        self.is_reported = False
+        self.reported_at = float("-inf")
+        # Time of the latest report that the judge has acknowledged.
+        self.acknowledged_at = float("-inf")
 
 
 class RolloutObserver:
-    """Counts outcomes while a roll-out runs, and tells the control host that judges.
+    """Counts outcomes of running roll-outs and reports them to the judge.
 
-    `in_flight` gives the requests under way at a service's upstreams of other
-    versions than the one given.
+    The judge is the control host that leads the log; it evaluates the outcomes of
+    all entry hosts. `in_flight` returns the number of this host's requests in
+    flight at upstreams of other versions than the new one.
     """
 
     def __init__(
@@ -64,23 +66,23 @@
         self._running = running
         self._in_flight = in_flight
         self._observations: dict[str, _Observation] = {}
-        # Control host that judges, as the latest answers told.
+        # Name of the judge from the latest sync, "" for none.
         self.judge = ""
         self._wake = trio.Event()
 
     def is_judged(self, rollout: Rollout) -> bool:
-        """Whether the judge knows what happens here, and this host sees no fault."""
+        """Whether the judge gets this host's reports and sending isn't suspended."""
         observation = self._observation(rollout)
         now = self._timers.now()
-        if now < observation.stopped_until:
+        if now < observation.suspended_until:
             return False
-        return now - observation.judged_at < _JUDGED_SECONDS
+        return now - observation.acknowledged_at < _ACKNOWLEDGEMENT_TTL_SECONDS
 
     def wake(self) -> None:
-        """Tell the judge at once; called when a roll-out has changed."""
+        """Resume reporting, after a roll-out has changed."""
         self._wake.set()
 
-    def note_outcome(
+    def record_outcome(
         self,
         rollout: Rollout,
         route: str,
@@ -90,7 +92,7 @@
     ) -> None:
         """Count a request that ended; `seconds` is None for a failure.
 
-        `expected` gives the seconds that its first token should take, 0 for none.
+        `expected` is the expected time to the first token in seconds, 0 if unknown.
         """
         observation = self._observation(rollout)
         is_new = upstream.software == rollout.to
@@ -99,22 +101,24 @@
             tally.failed += 1
         else:
             tally.answered[
-                speed_class(seconds / expected if expected else seconds)
+                latency_bucket(seconds / expected if expected else seconds)
             ] += 1
         if is_new:
-            self._note_new(observation, is_failure=seconds is None)
+            self._record_new_version(observation, is_failure=seconds is None)
 
-    def _note_new(self, observation: _Observation, *, is_failure: bool) -> None:
-        observation.is_told = False
+    def _record_new_version(
+        self, observation: _Observation, *, is_failure: bool
+    ) -> None:
+        observation.is_reported = False
         if not is_failure:
-            observation.failed_in_a_row = 0
+            observation.consecutive_failures = 0
             return
-        observation.failed_in_a_row += 1
-        if observation.failed_in_a_row >= _MOST_IN_A_ROW:
-            observation.stopped_until = self._timers.now() + _STOP_SECONDS
+        observation.consecutive_failures += 1
+        if observation.consecutive_failures >= _MAX_CONSECUTIVE_FAILURES:
+            observation.suspended_until = self._timers.now() + _SUSPENSION_SECONDS
 
     async def run(self) -> None:
-        """Tell until cancelled."""
+        """Send reports until cancelled."""
         while True:
             rollouts = self._running()
             if not rollouts:
@@ -124,23 +128,23 @@
                 continue
             for rollout in rollouts:
                 if self._is_due(self._observation(rollout)):
-                    await self._tell(rollout)
-            await self._timers.sleep(_PERIOD_SECONDS)
+                    await self._report(rollout)
+            await self._timers.sleep(_REPORT_PERIOD_SECONDS)
 
     def _observation(self, rollout: Rollout) -> _Observation:
-        held = self._observations.get(rollout.service)
-        if held is None or held.number != rollout.number:
-            held = self._observations[rollout.service] = _Observation(rollout.number)
-        return held
+        last = self._observations.get(rollout.service)
+        if last is None or last.number != rollout.number:
+            last = self._observations[rollout.service] = _Observation(rollout.number)
+        return last
 
     def _is_due(self, observation: _Observation) -> bool:
-        passed = self._timers.now() - observation.told_at
-        return not observation.is_told or passed >= _IDLE_SECONDS
+        elapsed = self._timers.now() - observation.reported_at
+        return not observation.is_reported or elapsed >= _IDLE_REPORT_PERIOD_SECONDS
 
-    async def _tell(self, rollout: Rollout) -> None:
+    async def _report(self, rollout: Rollout) -> None:
         observation = self._observation(rollout)
-        observation.is_told = True
-        observation.told_at = self._timers.now()
+        observation.is_reported = True
+        observation.reported_at = self._timers.now()
         message = pb.RolloutEvidence(
             service=rollout.service,
             number=rollout.number,
@@ -149,18 +153,18 @@
             outcomes=observation.outcomes.to_messages(),
             in_flight=self._in_flight(rollout),
         )
-        if await self._is_taken(message):
-            observation.judged_at = observation.told_at
+        if await self._send_evidence(message):
+            observation.acknowledged_at = observation.reported_at
         else:
-            observation.is_told = False
+            observation.is_reported = False
 
-    async def _is_taken(self, message: pb.RolloutEvidence) -> bool:
-        """Whether the judge has acknowledged what this host saw."""
+    async def _send_evidence(self, message: pb.RolloutEvidence) -> bool:
+        """Send a report and return whether the judge has acknowledged it."""
         if not self.judge:
             return False
         try:
             reply = await self._peers.call(self.judge, message, _CALL_SECONDS)
         except Failure as failure:
-            logging.info("rollouts: %s isn't told: %s", self.judge, failure.text)
+            logging.info("rollouts: Report to %s failed: %s", self.judge, failure.text)
             return False
         return reply.is_judge
--- a/src/pepperstep/routing/admission.py
+++ b/src/pepperstep/routing/admission.py
@@ -1,4 +1,4 @@
-"""Refuses requests that would wait too long, before they are accepted."""
+"""Admission control: rejects requests that would wait too long."""
 
 import random
 from dataclasses import dataclass
@@ -6,26 +6,27 @@
 from pepperstep.entities import Priority, Request
 from pepperstep.errors import Code, Failure
 from pepperstep.routing.pools import Pool
+from pepperstep.routing.service_levels import ServiceLevels
 from pepperstep.routing.settings import RoutingSettings
-from pepperstep.routing.terms import Terms
 from pepperstep.routing.work import pool_key
 
 __all__ = ["Admission", "Room", "check_served", "latest_start"]
 
-_NO_UPSTREAM_SECONDS = 1.0
-_LEAST_RETRY_SECONDS = 0.1
-# An accepted request that hasn't asked for its place after this never will.
-_ADMITTED_SECONDS = 2.0
+_NO_UPSTREAM_RETRY_SECONDS = 1.0
+_MIN_RETRY_SECONDS = 0.1
+# A request admitted longer ago and not queued since counts as abandoned.
+_ADMITTED_TIMEOUT_SECONDS = 2.0
 _JITTER = 0.5
-# Part of the places that higher classes leave at least.
-_LEAST_SHARE = 0.05
-# Answers after which their length is taken as known.
-_KNOWN_ANSWERS = 8
+# Smallest share of the slots in flight that a class is assumed to get, however
+# many of them higher classes hold.
+_MIN_REMAINING_SHARE = 0.05
+# Answers after which their average length is used for predictions.
+_MIN_ANSWER_SAMPLES = 8
 
 
 @dataclass(frozen=True, slots=True)
 class Room:
-    """Whether places are free, and how many wait of a request's workspace."""
+    """Whether enough slots are free, and how many requests of a workspace wait."""
 
     is_enough: bool
     waiting: int
@@ -33,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Admitted:
-    """A request let in, when, and the wait predicted."""
+    """An admitted request with its admission time and predicted wait."""
 
     request: Request
     at: float
@@ -41,63 +42,68 @@
 
 
 class Admission:
-    """Decides on new requests by the work ahead of them and how it drains."""
-
-    def __init__(self, settings: RoutingSettings, terms: Terms, rng: random.Random):
+    """Admits new requests by the work queued ahead of them and its drain rate."""
+
+    def __init__(
+        self,
+        settings: RoutingSettings,
+        service_levels: ServiceLevels,
+        rng: random.Random,
+    ):
         self._settings = settings
-        self._terms = terms
+        self._service_levels = service_levels
         self._rng = rng
-        # Requests let in that haven't asked for a place.
+        # Admitted requests that are not queued yet, oldest first.
         self._admitted: dict[str, _Admitted] = {}
 
     def admit(
         self, request: Request, pool: Pool, room: Room, remaining: float, now: float
     ) -> None:
-        """Count a request in until it asks for its place.
+        """Admit a request, and count it as waiting until it is queued.
 
-        `remaining` seconds are left until its deadline. Raise `Failure` if it
-        is not to be accepted.
+        `remaining` is the time until its deadline in seconds. Raise `Failure` with
+        `QUEUE_FULL` or `OVERLOADED` if the request is rejected.
         """
         wait = 0.0 if room.is_enough else self.predict_wait(pool, request)
         waiting = room.waiting + sum(
             each.request.workspace == request.workspace
             for each in self._admitted.values()
         )
-        if wait > 0.0 and waiting >= self._terms.max_queue:
-            raise self._full(request, wait / waiting)
+        if wait > 0.0 and waiting >= self._service_levels.max_queue:
+            raise self._queue_full(request, wait / waiting)
         if wait > 0.0 and self._settings.refuses_early:
             self._check_times(request, pool, wait, remaining)
         self._admitted[request.id] = _Admitted(request, now, wait)
 
     def count_admitted(self, pool: Pool, now: float) -> int:
-        """Return how many that were let in haven't asked for a place yet."""
+        """Return the number of the pool's admitted requests not queued yet."""
         self._prune(now)
         return sum(
             pool_key(each.request) == pool.key for each in self._admitted.values()
         )
 
-    def note_queued(self, request: Request) -> float:
-        """Return the wait predicted for a request, which asks for its place."""
+    def pop_predicted_wait(self, request: Request) -> float:
+        """Return the wait predicted at admission, as the request is queued."""
         admitted = self._admitted.pop(request.id, None)
         return 0.0 if admitted is None else admitted.wait
 
     def predict_wait(self, pool: Pool, request: Request) -> float:
-        """Return the seconds until a request would start, by the present drain.
+        """Return the predicted seconds until a request starts.
 
-        By Little's law places free at the rate of those held over the time
-        that each is held; those that higher classes hold now will be theirs
-        meanwhile.
+        By Little's law, slots become free at the rate of slots in flight divided
+        by their hold time. Slots that higher classes hold are expected to go to
+        those classes again and are not counted.
         """
 
-        def hold_of(priority: Priority) -> float:
-            hold = pool.holds[priority]
-            if hold.count:
-                return hold.value
-            return pool.hold.value or request.max_tokens * pool.decode_seconds
+        def hold_time_of(priority: Priority) -> float:
+            hold_time = pool.hold_times[priority]
+            if hold_time.count:
+                return hold_time.value
+            return pool.hold_time.value or request.max_tokens * pool.decode_seconds
 
-        ahead = pool.queue.work_ahead(request, hold_of)
+        ahead = pool.queue.work_ahead(request, hold_time_of)
         above = sum(pool.class_in_flight[: request.priority])
-        left = max(pool.in_flight - above, _LEAST_SHARE * pool.in_flight, 1.0)
+        left = max(pool.in_flight - above, _MIN_REMAINING_SHARE * pool.in_flight, 1.0)
         return pool.wait_errors[request.priority].value * ahead / left
 
     def _check_times(
@@ -105,35 +111,35 @@
     ) -> None:
         first_token = wait + pool.first_token.value
         answer = request.max_tokens * pool.answer_shares[request.priority].value
-        late = first_token + answer * pool.decode_seconds - remaining
+        overrun = first_token + answer * pool.decode_seconds - remaining
         if request.priority is Priority.INTERACTIVE:
-            target = self._terms.targets_of(request).first_token
+            target = self._service_levels.targets_of(request).first_token
             allowed = target * self._settings.refusal_multiple
-            late = max(late, first_token - allowed)
-        if late > 0:
+            overrun = max(overrun, first_token - allowed)
+        if overrun > 0:
             raise Failure(
                 Code.OVERLOADED,
                 f"The first token would take {first_token:.2f} s.",
-                retry_after=self._return_after(min(late, wait)),
+                retry_after=self._jittered_retry_after(min(overrun, wait)),
             )
 
     def _prune(self, now: float) -> None:
         for request_id, admitted in list(self._admitted.items()):
-            if now - admitted.at <= _ADMITTED_SECONDS:
+            if now - admitted.at <= _ADMITTED_TIMEOUT_SECONDS:
                 return
             del self._admitted[request_id]
 
-    def _full(self, request: Request, seconds_each: float) -> Failure:
+    def _queue_full(self, request: Request, seconds_each: float) -> Failure:
         return Failure(
             Code.QUEUE_FULL,
-            f"{self._terms.max_queue} requests of {request.workspace} wait.",
-            retry_after=self._return_after(seconds_each),
+            f"{self._service_levels.max_queue} requests of {request.workspace} wait.",
+            retry_after=self._jittered_retry_after(seconds_each),
         )
 
-    def _return_after(self, seconds: float) -> float:
-        """Return a time to come back, spread so that not all come at once."""
+    def _jittered_retry_after(self, seconds: float) -> float:
+        """Return the seconds to retry after, with jitter to spread the retries."""
         jitter = 1 + _JITTER * self._rng.random()
-        return max(_LEAST_RETRY_SECONDS, seconds) * jitter
+        return max(_MIN_RETRY_SECONDS, seconds) * jitter
 
 
 def check_served(request: Request, pool: Pool) -> None:
@@ -142,19 +148,20 @@
         raise Failure(
             Code.NO_UPSTREAM,
             f"No upstream serves {request.target} now.",
-            retry_after=_NO_UPSTREAM_SECONDS,
+            retry_after=_NO_UPSTREAM_RETRY_SECONDS,
         )
 
 
 def latest_start(request: Request, pool: Pool, left_tokens: int) -> float:
-    """Return the Unix time after which the deadline surely can't be met.
+    """Return the Unix time after which an attempt can't meet its deadline.
 
-    Only lengths that answers have rarely fallen below are counted on.
+    The answer is assumed to be two deviations shorter than the average, a
+    length that answers rarely fall below.
     """
     shares = pool.answer_shares[request.priority]
-    if shares.count < _KNOWN_ANSWERS:
+    if shares.count < _MIN_ANSWER_SAMPLES:
         return request.deadline
     share = max(0.0, shares.value - 2 * shares.deviation)
-    sure_tokens = max(0.0, left_tokens - (1 - share) * request.max_tokens)
-    seconds = pool.first_token.value + sure_tokens * pool.decode_seconds
+    expected_tokens = max(0.0, left_tokens - (1 - share) * request.max_tokens)
+    seconds = pool.first_token.value + expected_tokens * pool.decode_seconds
     return request.deadline - seconds
--- a/src/pepperstep/routing/prediction.py
+++ b/src/pepperstep/routing/prediction.py
@@ -1,4 +1,4 @@
-"""Predicts the time to the first token on each candidate."""
+"""Policies that choose an upstream, and the prediction of its first token."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -11,22 +11,27 @@
 from pepperstep.routing.prefixes import PrefixIndex
 from pepperstep.routing.settings import RoutingSettings
 from pepperstep.routing.tracked import TrackedUpstream
-from pepperstep.routing.work import Work
+from pepperstep.routing.work import WorkEstimate
 
 __all__ = ["CHOICES", "Choice", "ChoiceContext", "Chooser", "Prediction"]
 
-_FIRST_HOLD = 1.0
-# Upstreams that hold the prefix, besides the drawn ones.
-_HOLDERS = 2
+# Hold time assumed until an upstream has answered an attempt.
+_DEFAULT_HOLD_SECONDS = 1.0
+# Upstreams considered because they hold the prefix, besides the drawn ones.
+_MAX_HOLDERS = 2
 _total_of = attrgetter("total")
 
 
 @dataclass(slots=True)
 class Prediction:
-    """Parts of the predicted time to the first token, in seconds."""
+    """Parts of the predicted time to the first token, in seconds.
+
+    `history` is a penalty for late or failed attempts, `role` one for an engine
+    whose role does not fit the work.
+    """
 
     upstream: str
-    # Attempts believed to be there.
+    # Estimated attempts on the upstream, from all hosts.
     total: int
     cached_tokens: float
     wait: float
@@ -37,13 +42,13 @@
 
     @property
     def seconds(self) -> float:
-        """The whole time."""
+        """The sum of all parts."""
         return self.wait + self.prefill + self.distance + self.history + self.role
 
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """The chosen upstream and why."""
+    """The chosen upstream and the reason for the choice."""
 
     chosen: TrackedUpstream
     reason: str
@@ -52,7 +57,7 @@
 
 @dataclass(slots=True)
 class ChoiceContext:
-    """What all choices of a host share."""
+    """State that all choices of a host share."""
 
     settings: RoutingSettings
     rng: Random
@@ -62,16 +67,16 @@
     turns: count = field(default_factory=count)
 
 
-Chooser = Callable[[Candidates, Work, ChoiceContext, float], Choice | None]
+Chooser = Callable[[Candidates, WorkEstimate, ChoiceContext, float], Choice | None]
 
 
 def choose_predicted(
-    candidates: Candidates, work: Work, context: ChoiceContext, now: float
+    candidates: Candidates, work: WorkEstimate, context: ChoiceContext, now: float
 ) -> Choice | None:
-    """Choose the least predicted time among a few and the prefix's best.
+    """Choose the least predicted time among random upstreams and prefix holders.
 
-    Few, since the reports are late: all hosts that look at all upstreams would
-    choose the same one until the next report.
+    Load reports arrive late. If every host compared all upstreams, all hosts
+    would choose the same one until the next report.
     """
     drawn = candidates.draw(context.settings.choices, context.rng)
     if not drawn:
@@ -79,7 +84,7 @@
     holders = context.prefixes.find_holders(work.hashes)
     if holders:
         held = sorted(candidates.find(holders), key=_total_of)
-        drawn += [each for each in held[:_HOLDERS] if each not in drawn]
+        drawn += [each for each in held[:_MAX_HOLDERS] if each not in drawn]
     predictions = [predict(tracked, work, context, now) for tracked in drawn]
     seconds = [prediction.seconds for prediction in predictions]
     best = drawn[seconds.index(min(seconds))]
@@ -87,9 +92,9 @@
 
 
 def choose_least_in_flight(
-    candidates: Candidates, work: Work, context: ChoiceContext, now: float
+    candidates: Candidates, work: WorkEstimate, context: ChoiceContext, now: float
 ) -> Choice | None:
-    """Choose the upstream with the least in flight from this host."""
+    """Choose the upstream with the fewest attempts in flight from this host."""
     usable = candidates.list_all()
     if not usable:
         return None
@@ -97,9 +102,9 @@
 
 
 def choose_round_robin(
-    candidates: Candidates, work: Work, context: ChoiceContext, now: float
+    candidates: Candidates, work: WorkEstimate, context: ChoiceContext, now: float
 ) -> Choice | None:
-    """Choose one upstream after the other."""
+    """Choose the upstreams in turn."""
     usable = candidates.list_all()
     if not usable:
         return None
@@ -107,9 +112,9 @@
 
 
 def choose_random(
-    candidates: Candidates, work: Work, context: ChoiceContext, now: float
+    candidates: Candidates, work: WorkEstimate, context: ChoiceContext, now: float
 ) -> Choice | None:
-    """Choose any upstream."""
+    """Choose a random upstream."""
     drawn = candidates.draw(1, context.rng)
     return Choice(drawn[0], "random") if drawn else None
 
@@ -123,7 +128,7 @@
 
 
 def predict(
-    tracked: TrackedUpstream, work: Work, context: ChoiceContext, now: float
+    tracked: TrackedUpstream, work: WorkEstimate, context: ChoiceContext, now: float
 ) -> Prediction:
     """Return the predicted time to the first token on one upstream."""
     settings = context.settings
@@ -150,20 +155,22 @@
 
 
 def _predict_wait(
-    tracked: TrackedUpstream, work: Work, settings: RoutingSettings
+    tracked: TrackedUpstream, work: WorkEstimate, settings: RoutingSettings
 ) -> float:
-    """Return the time until a place is free and the batch takes the request in."""
+    """Return the seconds until a slot is free and the batch admits the request."""
     load = tracked.upstream.load
     slots = max(1, tracked.upstream.slots)
     total = tracked.total
-    hold = tracked.hold.value if tracked.hold.count else _FIRST_HOLD
+    hold_time = (
+        tracked.hold_time.value if tracked.hold_time.count else _DEFAULT_HOLD_SECONDS
+    )
     if not work.is_engine_work:
-        return (total + 1) * hold / slots
-    # The fuller the batch, the longer its present step and its prefills.
+        return (total + 1) * hold_time / slots
+    # A fuller batch has longer decode steps and more prefills to share with.
     wait = load.decode_seconds * total / slots
     wait += tracked.pending_tokens * load.prefill_seconds * settings.prefill_sharing
     if total >= slots:
-        wait += (total - slots + 1) * hold / slots
+        wait += (total - slots + 1) * hold_time / slots
     return wait
 
 
@@ -177,7 +184,10 @@
 
 
 def _role_penalty(
-    tracked: TrackedUpstream, work: Work, uncached: float, settings: RoutingSettings
+    tracked: TrackedUpstream,
+    work: WorkEstimate,
+    uncached: float,
+    settings: RoutingSettings,
 ) -> float:
     load = tracked.upstream.load
     prefill = uncached * load.prefill_seconds
--- a/tests/relaying/test_retry_after.py
+++ b/tests/relaying/test_retry_after.py
@@ -142,7 +142,7 @@
         await trio.sleep(1.0)
         host = world.entries["e0:1"]
         versions = VersionSplit(trio.current_time, lambda rollout: True)
-        versions.take(
+        versions.update(
             Rollout(
                 service="plain",
                 to="v2",
--- a/tests/rollouts/test_versions.py
+++ b/tests/rollouts/test_versions.py
@@ -1,4 +1,8 @@
-"""Which version a request goes to, as one host decides it."""
+"""Selection of the version for each request on one host.
+
+A wrong selection sends requests to a version that is not evaluated or was rolled back,
+or moves a session between versions.
+"""
 
 import pytest
 
@@ -16,12 +20,12 @@
         self.is_judged = True
         self.split = VersionSplit(lambda: self.time, lambda rollout: self.is_judged)
 
-    def see(self, upstreams):
+    def observe(self, upstreams):
         for each in upstreams:
-            self.split.note_upstream(each)
+            self.split.observe_upstream(each)
 
-    def take(self, index=1, **fields):
-        self.split.take(Rollout("s", 1, "v2", 12.0, 0.0, 0.0, index=index, **fields))
+    def update(self, index=1, **fields):
+        self.split.update(Rollout("s", 1, "v2", 12.0, 0.0, 0.0, index=index, **fields))
 
     def select(self, name=b"r", tried=(), upstreams=(*OLD, *NEW)):
         facts = RequestFacts(name)
@@ -36,17 +40,17 @@
 @pytest.fixture
 def host():
     host = Host()
-    host.see(OLD + NEW)
+    host.observe(OLD + NEW)
     return host
 
 
 def test_requests_are_split_by_the_share(host):
-    host.take(share=0.2)
+    host.update(share=0.2)
     assert host.share() == pytest.approx(0.2, abs=0.04)
 
 
-def test_nothing_goes_to_a_version_that_nobody_judges(host):
-    host.take(share=0.2)
+def test_version_that_is_not_judged_gets_no_requests(host):
+    host.update(share=0.2)
     host.is_judged = False
     assert host.share() == 0.0
 
@@ -55,7 +59,7 @@
     parts = [(PromptPart("a", 9), PromptPart(f"p{number}", 9)) for number in range(300)]
     before = set()
     for index, share in enumerate((0.05, 0.2, 0.6, 1.0), start=1):
-        host.take(index=index, share=share)
+        host.update(index=index, share=share)
         now = {
             part[-1].id
             for part in parts
@@ -67,8 +71,8 @@
     assert len(before) == 300
 
 
-def test_what_the_new_version_failed_goes_to_the_others(host):
-    host.take(share=1.0)
+def test_request_failed_by_the_new_version_is_retried_on_others(host):
+    host.update(share=1.0)
     assert host.select() == {"v2"}
     assert host.select(tried={NEW[0].key}) == {"v1"}
 
@@ -82,24 +86,24 @@
     ],
 )
 def test_versions_by_state(host, state, share, replaced, expected):
-    host.take(state=state, share=share, replaced=replaced)
+    host.update(state=state, share=share, replaced=replaced)
     assert host.select() == expected
 
 
-def test_late_word_of_a_roll_out_changes_nothing(host):
-    host.take(index=7, state=RolloutState.ROLLED_BACK)
-    host.take(index=3, share=0.5)
+def test_stale_state_of_a_roll_out_is_ignored(host):
+    host.update(index=7, state=RolloutState.ROLLED_BACK)
+    host.update(index=3, share=0.5)
     assert host.share() == 0.0
 
 
 def test_version_that_appears_before_its_order_waits(host):
     host.time += 10.0
     other = Announcement("x", "s", "", "z1", software="v9")
-    host.see([other])
+    host.observe([other])
     everything = [*OLD, other]
     assert host.select(upstreams=everything) == {"v1"}
-    # It's all there is.
+    # The only version is used even if it is new.
     assert host.select(upstreams=[other]) == {"v9"}
-    # No order comes: it's used as others are.
+    # Without an order, the new version is used after a delay.
     host.time += 4.0
     assert host.select(upstreams=everything) == {"v1", "v9"}
