--- a/measure/placement.py
+++ b/measure/placement.py
@@ -12,7 +12,7 @@
 from typing import TypeVar
 
 from measure.model_engine import ModelEngine, ModelRun, Scheduler
-from pepperstep.coordination import Announcement, UpstreamBook, UpstreamKey
+from pepperstep.coordination import Announcement, UpstreamCatalog, UpstreamKey
 from pepperstep.entities.routes import Service
 from pepperstep.ports.relaying import PromptPart, RequestFacts
 from pepperstep.relay.choice import Chooser
@@ -165,15 +165,17 @@
         def now() -> float:
             return self._clock.now
 
-        book = UpstreamBook(now)
+        catalog = UpstreamCatalog(now)
         for name in self._engines:
-            book.note(Announcement(name, "model", f"{name}:1", "z", sequence=1))
+            catalog.note(Announcement(name, "model", f"{name}:1", "z", sequence=1))
         count = self._settings.hosts
         rng = random.Random(seed)
         if not self._settings.tells:
-            return Chooser(book, _OpenPools(), "z", lambda: count, now, rng)
+            return Chooser(catalog, _OpenPools(), "z", lambda: count, now, rng)
         kept = _KeptWork(self._clock, self._kept)
-        chooser = Chooser(book, _OpenPools(), "z", lambda: count, now, rng, others=kept)
+        chooser = Chooser(
+            catalog, _OpenPools(), "z", lambda: count, now, rng, others=kept
+        )
         kept.own = chooser.work_at
         return chooser
 
--- a/proofs/relay.py
+++ b/proofs/relay.py
@@ -33,7 +33,7 @@
         5,
         "an upstream that says in an answer that it leaves is taken at its word",
         "relay/signals.py",
-        "if facts.is_leaving and self._book.note_leaving(upstream.key):",
+        "if facts.is_leaving and self._catalog.note_leaving(upstream.key):",
         "if False:",
         (
             f"{_LEAVING}test_host_that_reaches_no_control_host_takes_an_answer_at_its_word",
@@ -43,7 +43,7 @@
         5,
         "what one host's answer says of its upstream is told to all",
         "coordination/control_desk.py",
-        "            self._book.note_leaving(upstream, sender)\n",
+        "            self._catalog.note_leaving(upstream, sender)\n",
         "            pass\n",
         (f"{_LEAVING}test_one_hosts_answer_tells_all_hosts",),
     ),
@@ -183,7 +183,7 @@
         5,
         "an upstream's end outlives a restart",
         "coordination/hints.py",
-        "return self._book.age(upstream.id) < _GONE_SECONDS",
+        "return self._catalog.age(upstream.id) < _GONE_SECONDS",
         "return False",
         (f"{_DEPARTURES}test_late_announcement_brings_nothing_back_after_a_restart",),
     ),
@@ -208,7 +208,7 @@
     Mechanism(
         5,
         "an upstream that is gone stays gone",
-        "coordination/upstream_book.py",
+        "coordination/upstream_catalog.py",
         "is_gone=known.is_gone or heard.is_gone,",
         "is_gone=heard.is_gone,",
         (f"{_COORDINATION}test_late_announcement_does_not_bring_an_upstream_back",),
@@ -227,7 +227,7 @@
         "coordination/control_desk.py",
         "EntryReport.from_message(message), age + message.age)",
         "EntryReport.from_message(message), age)",
-        ("tests/relaying/test_entry_book.py::test_reports_age_on_their_way",),
+        ("tests/relaying/test_entry_host_catalog.py::test_reports_age_on_their_way",),
     ),
     Mechanism(
         7,
@@ -310,7 +310,7 @@
     Mechanism(
         9,
         "an announcement ends an upstream's silence",
-        "coordination/upstream_book.py",
+        "coordination/upstream_catalog.py",
         "if heard_at > self._silent.get(announcement.key, math.inf):",
         "if False:",
         (f"{_SILENCE}test_announcement_ends_silence_at_once",),
@@ -449,7 +449,7 @@
     Mechanism(
         2,
         "an upstream's later start replaces what was known of the one before",
-        "coordination/upstream_book.py",
+        "coordination/upstream_catalog.py",
         "if announcement.incarnation > known.announcement.incarnation:",
         "if False:",
         (f"{_RESTARTS}test_later_start_replaces_all_that_was_known",),
@@ -468,7 +468,7 @@
     Mechanism(
         9,
         "an announcement of another service changes no known upstream",
-        "coordination/upstream_book.py",
+        "coordination/upstream_catalog.py",
         "return has_both and heard.service != known.service",
         "return False",
         (f"{_RESTARTS}test_service_does_not_change_within_a_start",),
@@ -517,10 +517,10 @@
     Mechanism(
         7,
         "control hosts tell each other what changed only",
-        "coordination/entry_book.py",
+        "coordination/entry_host_catalog.py",
         "if life.version > version",
         "if True",
-        ("tests/relaying/test_entry_book.py::test_only_what_changed_is_told",),
+        ("tests/relaying/test_entry_host_catalog.py::test_only_what_changed_is_told",),
     ),
     Mechanism(
         7,
@@ -529,7 +529,7 @@
         "return not in_contact or name == in_contact[0]",
         "return True",
         (
-            "tests/relaying/test_entry_book.py::"
+            "tests/relaying/test_entry_host_catalog.py::"
             "test_one_control_host_tells_the_others_of_an_entry_host",
         ),
     ),
--- a/src/pepperstep/coordination/__init__.py
+++ b/src/pepperstep/coordination/__init__.py
@@ -3,7 +3,7 @@
 from pepperstep.coordination.control_desk import ControlDesk
 from pepperstep.coordination.directory import Directory
 from pepperstep.coordination.duty import Duty
-from pepperstep.coordination.entry_book import EntryBook
+from pepperstep.coordination.entry_host_catalog import EntryHostCatalog
 from pepperstep.coordination.host_share import HostShare
 from pepperstep.coordination.ordering import Ordering
 from pepperstep.coordination.records import (
@@ -20,7 +20,7 @@
     TableStore,
     propose_table,
 )
-from pepperstep.coordination.upstream_book import UpstreamBook
+from pepperstep.coordination.upstream_catalog import UpstreamCatalog
 from pepperstep.coordination.usage import USAGE_MACHINE, UsageMachine, UsageReporter
 
 __all__ = [
@@ -30,7 +30,7 @@
     "ControlDesk",
     "Directory",
     "Duty",
-    "EntryBook",
+    "EntryHostCatalog",
     "EntryReport",
     "HostShare",
     "Ordering",
@@ -40,7 +40,7 @@
     "SyncSettings",
     "TableMachine",
     "TableStore",
-    "UpstreamBook",
+    "UpstreamCatalog",
     "UpstreamKey",
     "UsageMachine",
     "UsageReporter",
--- a/src/pepperstep/coordination/departures.py
+++ b/src/pepperstep/coordination/departures.py
@@ -14,7 +14,7 @@
 
 from pepperstep.coordination.followers import Followers
 from pepperstep.coordination.records import Announcement
-from pepperstep.coordination.upstream_book import UpstreamBook
+from pepperstep.coordination.upstream_catalog import UpstreamCatalog
 from pepperstep.errors import Code, Failure
 from pepperstep.ports import PeerNetwork, Timers
 from pepperstep.proto import coordination_pb2 as pb
@@ -37,7 +37,7 @@
         name: str,
         peers: PeerNetwork,
         timers: Timers,
-        book: UpstreamBook,
+        catalog: UpstreamCatalog,
         followers: Followers,
         control_hosts: Callable[[], list[str]],
         voters: Callable[[], list[str]],
@@ -46,7 +46,7 @@
         self._name = name
         self._peers = peers
         self._timers = timers
-        self._book = book
+        self._catalog = catalog
         self._followers = followers
         self._control_hosts = control_hosts
         self._voters = voters
@@ -109,9 +109,9 @@
         if announcement.is_gone and not announcement.service:
             # The sender has heard of its end only, perhaps not of which start.
             incarnation = announcement.incarnation or None
-            self._book.note_gone(announcement.id, incarnation, sender)
+            self._catalog.note_gone(announcement.id, incarnation, sender)
         else:
-            self._book.note(announcement, told_by=sender, heard_by=sender)
+            self._catalog.note(announcement, told_by=sender, heard_by=sender)
         await self._take_in()
         return pb.UpstreamNoticeReply()
 
@@ -121,7 +121,7 @@
         Raise `Failure` with `NOT_READY` if the disk fails, or an entry host doesn't
         take it in.
         """
-        version = self._book.version
+        version = self._catalog.version
         is_known = False
         try:
             await self._store()
--- a/src/pepperstep/coordination/entry_book.py
+++ b/src/pepperstep/coordination/entry_host_catalog.py
@@ -10,7 +10,7 @@
 from pepperstep.observability.decisions import EntryContact
 from pepperstep.proto import coordination_pb2 as pb
 
-__all__ = ["EntryBook"]
+__all__ = ["EntryHostCatalog"]
 
 # Entry hosts ask twice a second; one that missed two rounds is told of to callers
 # no longer. In seconds. Callers keep an address for another 1.5 s or more, and
@@ -99,7 +99,7 @@
     directories: dict[str, Directory] = field(default_factory=dict)
 
 
-class EntryBook:
+class EntryHostCatalog:
     """Lives of entry hosts, with what each has counted.
 
     `version` grows with each report of an entry host that has this host as its source.
--- a/src/pepperstep/coordination/ordering.py
+++ b/src/pepperstep/coordination/ordering.py
@@ -6,7 +6,7 @@
 from absl import logging
 
 from pepperstep.coordination.duty import Duty, Holder
-from pepperstep.coordination.entry_book import EntryBook
+from pepperstep.coordination.entry_host_catalog import EntryHostCatalog
 from pepperstep.coordination.order_state import OrderState
 from pepperstep.coordination.records import Announcement
 from pepperstep.coordination.scaling import (
@@ -16,7 +16,7 @@
     upstreams_for,
 )
 from pepperstep.coordination.tables import TableStore
-from pepperstep.coordination.upstream_book import UpstreamBook
+from pepperstep.coordination.upstream_catalog import UpstreamCatalog
 from pepperstep.entities.routes import ScalingBounds, Service
 from pepperstep.errors import Code, Failure
 from pepperstep.observability.decisions import UpstreamsPlanned, ZonePlan
@@ -45,8 +45,8 @@
         duty: Duty,
         orders: UpstreamOrders,
         tables: TableStore,
-        entries: EntryBook,
-        book: UpstreamBook,
+        entries: EntryHostCatalog,
+        catalog: UpstreamCatalog,
         zones: Callable[[], tuple[str, ...]],
         timers: Timers,
         is_trial: Callable[[Announcement], bool] = lambda upstream: False,
@@ -55,7 +55,7 @@
         self._orders = orders
         self._tables = tables
         self._entries = entries
-        self._book = book
+        self._catalog = catalog
         self._zones = zones
         self._timers = timers
         self._is_trial = is_trial
@@ -147,7 +147,7 @@
         present = self._zones()
         zones = tuple(bounds.zone_prices) or present
         counts = {(zone, kind): 0 for zone in zones for kind in (True, False)}
-        for each in self._book.working(service):
+        for each in self._catalog.working(service):
             if self._is_trial(each):
                 # It comes beside those that carry the work.
                 continue
--- a/src/pepperstep/coordination/silence.py
+++ b/src/pepperstep/coordination/silence.py
@@ -10,7 +10,7 @@
 
 from pepperstep.coordination.contact import Contact
 from pepperstep.coordination.records import UpstreamKey
-from pepperstep.coordination.upstream_book import UpstreamBook
+from pepperstep.coordination.upstream_catalog import UpstreamCatalog
 from pepperstep.proto import coordination_pb2 as pb
 
 __all__ = ["SilenceJudge", "SilenceVotes"]
@@ -42,11 +42,11 @@
 
     def __init__(
         self,
-        book: UpstreamBook,
+        catalog: UpstreamCatalog,
         now: Callable[[], float],
         contact: Contact,
     ):
-        self._book = book
+        self._catalog = catalog
         self._now = now
         self._contact = contact
         # Monotonic time since which this host hears most others.
@@ -69,7 +69,7 @@
             is_known = heard_by in answering
             return now - (_SILENCE_SECONDS if is_known else _MISSED_SECONDS)
 
-        self._book.set_silent(self._book.unheard_since(limit), _JUDGE)
+        self._catalog.set_silent(self._catalog.unheard_since(limit), _JUDGE)
 
 
 @dataclass(slots=True)
@@ -90,8 +90,8 @@
     announce themselves there.
     """
 
-    def __init__(self, book: UpstreamBook, now: Callable[[], float]):
-        self._book = book
+    def __init__(self, catalog: UpstreamCatalog, now: Callable[[], float]):
+        self._catalog = catalog
         self._now = now
         self._votes: dict[str, _Vote] = {}
 
@@ -123,4 +123,4 @@
             for vote in self._votes.values()
             if vote.answered_at >= limit
         )
-        self._book.set_silent(set(first).intersection(*others), _VOTES)
+        self._catalog.set_silent(set(first).intersection(*others), _VOTES)
--- a/src/pepperstep/coordination/sync.py
+++ b/src/pepperstep/coordination/sync.py
@@ -17,7 +17,7 @@
 from pepperstep.coordination.records import Announcement, EntryReport, StatedLimit
 from pepperstep.coordination.table_fetcher import FetchSettings, TableFetcher
 from pepperstep.coordination.tables import TableStore
-from pepperstep.coordination.upstream_book import UpstreamBook
+from pepperstep.coordination.upstream_catalog import UpstreamCatalog
 from pepperstep.errors import Failure
 from pepperstep.ports import PeerNetwork, Timers
 from pepperstep.proto import coordination_pb2 as pb
@@ -99,7 +99,7 @@
         peers: PeerNetwork,
         timers: Timers,
         tables: TableStore,
-        book: UpstreamBook,
+        catalog: UpstreamCatalog,
         report: Callable[[], EntryReport] | None = None,
         settings: SyncSettings | None = None,
     ):
@@ -108,7 +108,7 @@
         self._peers = peers
         self._timers = timers
         self._tables = tables
-        self._book = book
+        self._catalog = catalog
         self._report = report
         self._settings = settings or SyncSettings()
         delay = 0.0 if report is not None else self._settings.log_delay
@@ -318,11 +318,11 @@
         for message in reply.upstreams:
             announcement = Announcement.from_message(message)
             heard_by = message.heard_by or name
-            self._book.note(announcement, message.age + age, name, heard_by)
+            self._catalog.note(announcement, message.age + age, name, heard_by)
             if message.HasField("limit"):
                 told_at = self._timers.now() - age
                 limit = StatedLimit.from_message(message.limit, told_at)
-                self._book.note_limit(announcement.key, limit, name)
+                self._catalog.note_limit(announcement.key, limit, name)
         source.version = reply.registry_version
         source.entries_version = reply.entries_version
         is_new_life = source.epoch != reply.registry_epoch
--- a/src/pepperstep/coordination/upstream_book.py
+++ b/src/pepperstep/coordination/upstream_catalog.py
@@ -23,7 +23,7 @@
 from pepperstep.coordination.records import Announcement, StatedLimit, UpstreamKey
 from pepperstep.observability.decisions import UpstreamLimit, UpstreamState
 
-__all__ = ["UpstreamBook"]
+__all__ = ["UpstreamCatalog"]
 
 # Upstreams that are gone are remembered, so that a late announcement doesn't
 # bring them back. 10,000 upstreams that are replaced once an hour leave
@@ -53,7 +53,7 @@
     limit: StatedLimit | None = None
 
 
-class UpstreamBook:
+class UpstreamCatalog:
     """Upstreams by id; `version` grows with each change."""
 
     def __init__(self, now: Callable[[], float], name: str = ""):
--- a/src/pepperstep/coordination/usage.py
+++ b/src/pepperstep/coordination/usage.py
@@ -11,7 +11,7 @@
 from absl import logging
 
 from pepperstep.coordination.duty import Duty
-from pepperstep.coordination.entry_book import EntryBook
+from pepperstep.coordination.entry_host_catalog import EntryHostCatalog
 from pepperstep.coordination.records import counts_to_messages, messages_to_counts
 from pepperstep.errors import Failure
 from pepperstep.observability.decisions import UsageReported
@@ -81,7 +81,7 @@
         duty: Duty,
         window: float,
         agreement: Agreement,
-        entries: EntryBook,
+        entries: EntryHostCatalog,
         ledger: UsageLedger,
         timers: Timers,
         wall: Callable[[], float],
--- a/src/pepperstep/programs/control_host.py
+++ b/src/pepperstep/programs/control_host.py
@@ -10,12 +10,12 @@
     Announcement,
     ControlDesk,
     Duty,
-    EntryBook,
+    EntryHostCatalog,
     Ordering,
     Sync,
     TableMachine,
     TableStore,
-    UpstreamBook,
+    UpstreamCatalog,
     UsageMachine,
     UsageReporter,
     propose_table,
@@ -80,15 +80,15 @@
         self._rollout_machine = RolloutMachine()
         self.agreement.register(USAGE_MACHINE, self._usage)
         self.agreement.register(ROLLOUT_MACHINE, self._rollout_machine)
-        self.book = UpstreamBook(ports.timers.now, self._peer_name)
-        self.entries = EntryBook(ports.timers.now)
+        self.catalog = UpstreamCatalog(ports.timers.now, self._peer_name)
+        self.entries = EntryHostCatalog(ports.timers.now)
         self.sync = Sync(
             self._peer_name,
             settings.seeds,
             ports.peers,
             ports.timers,
             self.tables,
-            self.book,
+            self.catalog,
         )
         self._contact = Contact(
             self._peer_name,
@@ -99,7 +99,7 @@
         self.rollouts = RolloutDirector(
             self.agreement,
             self._rollout_machine,
-            self.book,
+            self.catalog,
             self.entries,
             ports.peers,
             ports.timers,
@@ -112,7 +112,7 @@
         self._hints = Hints(
             ports.storage,
             self.tables,
-            self.book,
+            self.catalog,
             self.entries,
             ports.timers,
             self.rollouts,
@@ -122,7 +122,7 @@
             self._peer_name,
             ports.peers,
             ports.timers,
-            self.book,
+            self.catalog,
             followers,
             self._control_hosts,
             self.agreement.voters,
@@ -133,7 +133,7 @@
             ports.peers,
             ports.timers,
             self.tables,
-            self.book,
+            self.catalog,
             self.entries,
             self._control_hosts,
             self.agreement.voters,
@@ -144,7 +144,7 @@
             rollouts=self.rollouts,
         )
         self.sync.on_reply = self.desk.absorb
-        self._silence = SilenceJudge(self.book, ports.timers.now, self._contact)
+        self._silence = SilenceJudge(self.catalog, ports.timers.now, self._contact)
         self._duty = Duty(
             settings.host, self.agreement, ports.timers, settings.bounds.duty_lease
         )
@@ -224,7 +224,7 @@
         watch("term", "Term of the log.", lambda: self.agreement.term)
         watch("entry_hosts", "In contact.", lambda: self.entries.count)
         watch("control_hosts", "In reach.", lambda: len(self.sync.reached))
-        watch("upstreams", "That take work.", self.book.working_count)
+        watch("upstreams", "That take work.", self.catalog.working_count)
 
     def _make_reporter(self, ports: RelayPorts) -> UsageReporter | None:
         if ports.ledger is None:
@@ -247,7 +247,7 @@
             ports.orders,
             self.tables,
             self.entries,
-            self.book,
+            self.catalog,
             lambda: self._settings.zones,
             ports.timers,
             self.rollouts.is_trial,
@@ -256,5 +256,5 @@
     async def _tidy(self) -> None:
         async for _ in self._timers.subscribe(_TIDY_SECONDS):
             self._silence.look()
-            self.book.forget_silent(_FORGET_SECONDS)
+            self.catalog.forget_silent(_FORGET_SECONDS)
             self.entries.note_contacts()
--- a/src/pepperstep/programs/entry_host.py
+++ b/src/pepperstep/programs/entry_host.py
@@ -9,7 +9,7 @@
     HostShare,
     Sync,
     TableStore,
-    UpstreamBook,
+    UpstreamCatalog,
     UpstreamKey,
 )
 from pepperstep.coordination.host_share import CONTACT_SECONDS
@@ -67,14 +67,14 @@
         now = ports.timers.now
         self.metrics = RelayMetrics()
         self.tables = TableStore(ports.decode)
-        self.book = UpstreamBook(now)
+        self.catalog = UpstreamCatalog(now)
         self.sync = Sync(
             settings.peer_address,
             settings.seeds,
             ports.peers,
             ports.timers,
             self.tables,
-            self.book,
+            self.catalog,
             self._report,
         )
         bounds = settings.bounds
@@ -110,7 +110,7 @@
         )
         self._backoff = Backoff(now)
         self._permits = Permits(
-            self.book,
+            self.catalog,
             self._backoff,
             keepers,
             ports.peers,
@@ -119,14 +119,14 @@
             ports.rng,
         )
         self._signals = AnswerSignals(
-            self.book,
+            self.catalog,
             self._backoff,
             ports.peers,
             ports.timers,
             lambda: self.sync.reached,
         )
         self._chooser = Chooser(
-            self.book,
+            self.catalog,
             self._pools,
             settings.zone,
             self._host_count,
@@ -147,7 +147,7 @@
         attempts = Attempts(
             ports.wire,
             self._pools,
-            self.book,
+            self.catalog,
             self._chooser,
             self._counts,
             self._signals,
@@ -157,14 +157,14 @@
         self.relay = Relay(
             ports.wire,
             self.tables,
-            self.book,
+            self.catalog,
             self._chooser,
             self._permits,
             attempts,
             self._quotas,
             claims,
             budget,
-            RelayJournal(self.metrics, self.tables, self.book, ports.timers),
+            RelayJournal(self.metrics, self.tables, self.catalog, ports.timers),
             ports.timers,
             ports.rng,
             self._takes_streams,
@@ -174,10 +174,10 @@
         self.sync.on_admitted = self._quotas.note_elsewhere
         self.sync.on_restart = self._quotas.note_restart
         self.sync.is_hurried = lambda: self._quotas.is_pressed
-        self.book.subscribe(self._note_upstream)
-        self.book.subscribe_restarts(self._note_ended)
-        self.book.subscribe_forgotten(self._note_forgotten)
-        self._silence_votes = SilenceVotes(self.book, now)
+        self.catalog.subscribe(self._note_upstream)
+        self.catalog.subscribe_restarts(self._note_ended)
+        self.catalog.subscribe_forgotten(self._note_forgotten)
+        self._silence_votes = SilenceVotes(self.catalog, now)
         self.sync.on_reply = self._note_reply
         self.sync.rollouts_index = lambda: self.versions.index
 
@@ -214,8 +214,8 @@
         watch = self.metrics.watch
         watch("routes_version", "In force.", lambda: self.tables.current.version)
         watch("control_hosts", "In reach.", lambda: len(self.sync.reached))
-        watch("upstreams", "That take work.", self.book.working_count)
-        watch("limited_upstreams", "That state a limit.", self.book.limited_count)
+        watch("upstreams", "That take work.", self.catalog.working_count)
+        watch("limited_upstreams", "That state a limit.", self.catalog.limited_count)
         watch("ready", "1 if callers are told of it.", lambda: self.is_ready)
 
     def _takes_streams(self) -> bool:
@@ -251,7 +251,7 @@
         """Return the requests under way at a service's other versions."""
         return sum(
             self._chooser.work_at(each.key).requests
-            for each in self.book.all()
+            for each in self.catalog.all()
             if each.service == rollout.service and each.software != rollout.to
         )
 
@@ -313,6 +313,6 @@
 
     async def _tidy(self) -> None:
         async for _ in self._timers.subscribe(_TIDY_SECONDS):
-            self.book.forget_silent(_FORGET_SECONDS)
+            self.catalog.forget_silent(_FORGET_SECONDS)
             self._pools.close_expired()
             self._permits.drop_idle()
--- a/src/pepperstep/relay/attempt.py
+++ b/src/pepperstep/relay/attempt.py
@@ -7,7 +7,7 @@
 import trio
 from absl import logging
 
-from pepperstep.coordination import Announcement, UpstreamBook, UpstreamKey
+from pepperstep.coordination import Announcement, UpstreamCatalog, UpstreamKey
 from pepperstep.entities.routes import Route, Service, Workspace
 from pepperstep.ports import Timers
 from pepperstep.ports.exchange import (
@@ -111,7 +111,7 @@
         self,
         wire: RelayWire,
         pools: Pools,
-        book: UpstreamBook,
+        catalog: UpstreamCatalog,
         chooser: Chooser,
         counts: RunCounts,
         signals: AnswerSignals,
@@ -120,7 +120,7 @@
     ):
         self._wire = wire
         self._pools = pools
-        self._book = book
+        self._catalog = catalog
         self._chooser = chooser
         self._counts = counts
         self._signals = signals
@@ -270,7 +270,7 @@
         attempt.note_failed(upstream.id, f"refused with {head.status}")
         if facts.other_upstream and facts.other_upstream != upstream.id:
             # The address belongs to another upstream by now.
-            self._book.note_gone(upstream.id, upstream.incarnation, _ANSWER)
+            self._catalog.note_gone(upstream.id, upstream.incarnation, _ANSWER)
         return Outcome.NOT_RUN
 
     async def _keep_failure(
--- a/src/pepperstep/relay/choice.py
+++ b/src/pepperstep/relay/choice.py
@@ -11,7 +11,7 @@
 from pepperstep.coordination import (
     Announcement,
     ServiceWork,
-    UpstreamBook,
+    UpstreamCatalog,
     UpstreamKey,
 )
 from pepperstep.entities.routes import Service
@@ -126,7 +126,7 @@
 
     def __init__(
         self,
-        book: UpstreamBook,
+        catalog: UpstreamCatalog,
         pools: Pools,
         zone: str,
         host_count: Callable[[], int],
@@ -137,7 +137,7 @@
         versions: Versions | None = None,
         backoff: Backoff | None = None,
     ):
-        self._book = book
+        self._catalog = catalog
         self._pools = pools
         self._host_count = host_count
         self._prompts = prompts or PromptMemory(now)
@@ -176,7 +176,7 @@
 
     def shortest_hold(self, service: Service) -> float:
         """Return the seconds for which all upstreams are held, 0 if one isn't."""
-        usable = self._book.usable(service.name)
+        usable = self._catalog.usable(service.name)
         return self._backoff.shortest(each.key for each in usable)
 
     def work_at(self, upstream: UpstreamKey) -> UpstreamWork:
@@ -249,7 +249,7 @@
 
         A version whose upstreams are all left alone counts as one that has failed.
         """
-        usable = self._book.usable(service.name)
+        usable = self._catalog.usable(service.name)
         selected = self._versions.select(service.name, usable, facts, tried)
         if selected and self._backoff.shortest(each.key for each in selected):
             failed = {each.key for each in selected}
--- a/src/pepperstep/relay/relay.py
+++ b/src/pepperstep/relay/relay.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from functools import partial
 
-from pepperstep.coordination import TableStore, UpstreamBook
+from pepperstep.coordination import TableStore, UpstreamCatalog
 from pepperstep.entities.routes import Route, Workspace
 from pepperstep.errors import Code, Execution, Failure
 from pepperstep.ports import Timers
@@ -48,7 +48,7 @@
         self,
         wire: RelayWire,
         tables: TableStore,
-        book: UpstreamBook,
+        catalog: UpstreamCatalog,
         chooser: Chooser,
         permits: Permits,
         attempts: Attempts,
@@ -62,7 +62,7 @@
     ):
         self._wire = wire
         self._tables = tables
-        self._book = book
+        self._catalog = catalog
         self._chooser = chooser
         self._permits = permits
         self._attempts = attempts
@@ -110,7 +110,7 @@
         """Return an upstream that is announced soon, None if there is none."""
         with self._timers.move_on_after(_PATIENCE_SECONDS):
             while True:
-                await self._book.wait_change()
+                await self._catalog.wait_change()
                 choice = await self._choose(attempt)
                 if choice is not None:
                     return choice
--- a/tests/relaying/test_acknowledged_leaving.py
+++ b/tests/relaying/test_acknowledged_leaving.py
@@ -350,7 +350,7 @@
         await trio.sleep(1.0)
         scene.world.network.heal()
         host = scene.world.controls["c1:1"]
-        assert host.book.get("v") is None
+        assert host.catalog.get("v") is None
         await host.note_gone("v", incarnation)
         scene.upstreams.acknowledged["v"] = trio.current_time()
         await trio.sleep(6.0)
@@ -363,4 +363,4 @@
         await scene.world.controls["c1:1"].note_gone("u", 4)
         await trio.sleep(1.0)
         for host in scene.world.entries.values():
-            assert host.book.get("u").takes_work
+            assert host.catalog.get("u").takes_work
--- a/tests/relaying/test_leaving_upstreams.py
+++ b/tests/relaying/test_leaving_upstreams.py
@@ -147,4 +147,4 @@
     async with serving([Upstream()], entries=1) as world:
         world.connector.scripts["plain0:80"] = lambda sent: Reply(head)
         await world.ask("e0:1", request("/safe/1"))
-        assert not world.entries["e0:1"].book.get("plain0").is_leaving
+        assert not world.entries["e0:1"].catalog.get("plain0").is_leaving
--- a/tests/relaying/test_ordering.py
+++ b/tests/relaying/test_ordering.py
@@ -9,7 +9,12 @@
 import trio
 from absl import logging
 
-from pepperstep.coordination import Announcement, ServiceWork, TableStore, UpstreamBook
+from pepperstep.coordination import (
+    Announcement,
+    ServiceWork,
+    TableStore,
+    UpstreamCatalog,
+)
 from pepperstep.coordination.duty import Duty
 from pepperstep.coordination.ordering import Ordering
 from pepperstep.coordination.table_updates import Document
@@ -54,12 +59,12 @@
 class FakePlatform:
     """Starts and stops upstreams as ordered, and takes zones' reclaimable ones."""
 
-    def __init__(self, book: UpstreamBook, nursery: trio.Nursery):
+    def __init__(self, catalog: UpstreamCatalog, nursery: trio.Nursery):
         self.is_dry = False
         # Time, holder and fence of each order.
         self.orders: list[tuple[float, str, int]] = []
         self.most = 0
-        self._book = book
+        self._catalog = catalog
         self._nursery = nursery
         self._wanted: dict[tuple[str, bool], int] = {}
         self._standing: dict[tuple[str, bool], list[str]] = {}
@@ -67,7 +72,7 @@
 
     @property
     def count(self) -> int:
-        return len(self._book.working("model"))
+        return len(self._catalog.working("model"))
 
     def steady_orders(self) -> dict[str, int]:
         """Return the latest order for steady ones of each zone."""
@@ -82,7 +87,7 @@
             raise Failure(Code.OVERLOADED, "None of that kind is to be had.")
         self._wanted[key] = order.count
         while len(standing) > order.count:
-            self._book.note_gone(standing.pop())
+            self._catalog.note_gone(standing.pop())
         self._nursery.start_soon(self._boot, key)
 
     async def _boot(self, key: tuple[str, bool]) -> None:
@@ -105,12 +110,12 @@
             self._note(name, (zone, True), sequence=2, is_leaving=True)
         await trio.sleep(seconds)
         for name in leaving:
-            self._book.note_gone(name)
+            self._catalog.note_gone(name)
 
     def _note(self, name: str, key: tuple[str, bool], **facts) -> None:
         zone, is_reclaimable = key
         facts = {"sequence": 1, "is_reclaimable": is_reclaimable} | facts
-        self._book.note(Announcement(name, "model", f"{name}:80", zone, **facts))
+        self._catalog.note(Announcement(name, "model", f"{name}:80", zone, **facts))
 
 
 class World:
@@ -119,8 +124,8 @@
     def __init__(self, nursery: trio.Nursery):
         self._nursery = nursery
         self.timers = FakeTimers(random.Random(0))
-        self.book = UpstreamBook(self.timers.now)
-        self.platform = FakePlatform(self.book, nursery)
+        self.catalog = UpstreamCatalog(self.timers.now)
+        self.platform = FakePlatform(self.catalog, nursery)
         self.desk = FakeDesk()
         self.agreement = FakeAgreementState()
         tables = TableStore(TableDecoder().decode_in_steps)
@@ -132,7 +137,7 @@
             self.platform,
             tables,
             self.desk,
-            self.book,
+            self.catalog,
             lambda: ZONES,
             self.timers,
         )
@@ -165,7 +170,7 @@
     async with start_world() as world:
         world.desk.load = 20.0
         assert await world.watch(12.0) >= 4
-        kinds = {each.is_reclaimable for each in world.book.working("model")}
+        kinds = {each.is_reclaimable for each in world.catalog.working("model")}
         assert kinds == {True}
 
 
@@ -240,7 +245,7 @@
         await trio.sleep(2.0)
         assert world.platform.count == len(ZONES)
         await trio.sleep(8.0)
-        kinds = [each.is_reclaimable for each in world.book.working("model")]
+        kinds = [each.is_reclaimable for each in world.catalog.working("model")]
         assert kinds and all(kinds)
 
 
@@ -248,14 +253,14 @@
     autojump_clock,
 ):
     async with start_world() as world:
-        heard_late = world.book.working("model")[3:]
+        heard_late = world.catalog.working("model")[3:]
         for each in heard_late:
-            world.book.note_gone(each.id)
+            world.catalog.note_gone(each.id)
         await trio.sleep(2.0)
         assert world.platform.steady_orders() in ({"a": 3}, {})
         for each in heard_late:
             later = dataclasses.replace(each, id=f"{each.id}-again")
-            world.book.note(later)
+            world.catalog.note(later)
         await trio.sleep(0.6)
         assert world.platform.steady_orders() == dict.fromkeys(ZONES, 1)
 
@@ -299,5 +304,5 @@
         assert first >= 12.0 + 2 / 3 * 3.0
         await trio.sleep(BOOT_SECONDS)
         # Ordered for the peak that this host has seen before it was the holder.
-        reclaimable = [e for e in world.book.working("model") if e.is_reclaimable]
+        reclaimable = [e for e in world.catalog.working("model") if e.is_reclaimable]
         assert len(reclaimable) >= 9
--- a/tests/relaying/test_shared_load.py
+++ b/tests/relaying/test_shared_load.py
@@ -6,7 +6,7 @@
 import pytest
 import trio
 
-from pepperstep.coordination import Announcement, UpstreamBook
+from pepperstep.coordination import Announcement, UpstreamCatalog
 from pepperstep.entities.routes import Service
 from pepperstep.fakes import FakeNetwork, FakePeers, FakeTimers
 from pepperstep.fakes.relaying import FakeConnector, Reply
@@ -36,9 +36,9 @@
         self.names = names
         timers = FakeTimers(random.Random(seed))
         peers = FakePeers(name, network, timers, nursery)
-        self.book = UpstreamBook(trio.current_time)
+        self.catalog = UpstreamCatalog(trio.current_time)
         for upstream in UPSTREAMS:
-            self.book.note(Announcement(upstream, "model", f"{upstream}:80", "z1"))
+            self.catalog.note(Announcement(upstream, "model", f"{upstream}:80", "z1"))
         prompts = PromptMemory(trio.current_time)
         self.keepers = Keepers(name, peers, timers, lambda: names[:KEEPERS])
         self.load = SharedLoad(
@@ -46,7 +46,7 @@
         )
         pools = Pools(FakeConnector(), lambda: len(names), trio.current_time)
         self.chooser = Chooser(
-            self.book,
+            self.catalog,
             pools,
             "z1",
             lambda: len(names),
@@ -248,7 +248,7 @@
                 leaving = Announcement(
                     upstream, "model", "", "z1", sequence=1, is_leaving=True
                 )
-                host.book.note(leaving)
+                host.catalog.note(leaving)
         assert chosen[0].upstream.id == UPSTREAMS[2]
 
 
--- a/tests/relaying/test_silence.py
+++ b/tests/relaying/test_silence.py
@@ -4,7 +4,7 @@
 import trio
 from hypothesis import given, strategies as st
 
-from pepperstep.coordination import Announcement, UpstreamBook
+from pepperstep.coordination import Announcement, UpstreamCatalog
 from pepperstep.coordination.contact import Contact
 from pepperstep.coordination.silence import SilenceJudge, SilenceVotes
 from pepperstep.proto import coordination_pb2 as pb
@@ -42,7 +42,7 @@
 
 def working(host) -> list[str]:
     """Return the upstreams of the plain service that a host counts on."""
-    return [each.id for each in host.book.working("plain")]
+    return [each.id for each in host.catalog.working("plain")]
 
 
 class Judged:
@@ -50,15 +50,15 @@
 
     def __init__(self) -> None:
         self.clock = Clock()
-        self.book = UpstreamBook(self.clock.now, "c0")
+        self.catalog = UpstreamCatalog(self.clock.now, "c0")
         self.is_in_contact = True
         # Control hosts that answer, of three.
         self.reached = ["c1", "c2"]
         contact = Contact(
             "c0", lambda: ["c0", "c1", "c2"], lambda: self.reached, self.clock.now
         )
-        self.judge = SilenceJudge(self.book, self.clock.now, contact)
-        self.book.note(announcement())
+        self.judge = SilenceJudge(self.catalog, self.clock.now, contact)
+        self.catalog.note(announcement())
 
     def look_for(self, seconds: int) -> None:
         """Let time pass."""
@@ -69,7 +69,7 @@
     @property
     def is_silent(self) -> bool:
         """Whether the upstream counts as silent."""
-        return KEY in self.book.silent
+        return KEY in self.catalog.silent
 
 
 def test_upstream_is_silent_after_twenty_seconds():
@@ -77,7 +77,7 @@
     judged.look_for(20)
     assert not judged.is_silent
     judged.look_for(1)
-    assert judged.is_silent and judged.book.working("plain") == []
+    assert judged.is_silent and judged.catalog.working("plain") == []
 
 
 def test_host_without_contact_judges_nothing_nor_right_after():
@@ -94,13 +94,13 @@
 def test_upstream_of_a_control_host_out_of_reach_is_judged_late():
     judged = Judged()
     judged.clock.time += 0.5
-    judged.book.note(announcement(sequence=2), told_by="c1", heard_by="c2")
+    judged.catalog.note(announcement(sequence=2), told_by="c1", heard_by="c2")
     judged.reached = ["c1"]
     judged.look_for(300)
     assert not judged.is_silent
     judged.look_for(1)
     assert judged.is_silent
-    judged.book.note(announcement(sequence=3), told_by="c1", heard_by="c2")
+    judged.catalog.note(announcement(sequence=3), told_by="c1", heard_by="c2")
     judged.look_for(60)
     assert not judged.is_silent
     judged.reached = ["c1", "c2"]
@@ -120,62 +120,62 @@
 def test_announcement_ends_silence_at_once():
     judged = Judged()
     judged.look_for(30)
-    before = judged.book.version
-    judged.book.note(announcement(sequence=1))
-    assert not judged.is_silent and judged.book.working("plain")
-    assert judged.book.version > before
+    before = judged.catalog.version
+    judged.catalog.note(announcement(sequence=1))
+    assert not judged.is_silent and judged.catalog.working("plain")
+    assert judged.catalog.version > before
 
 
 def test_announcement_that_came_before_the_silence_does_not_end_it():
     judged = Judged()
     judged.look_for(30)
-    judged.book.note(announcement(sequence=1), age=15.0)
+    judged.catalog.note(announcement(sequence=1), age=15.0)
     assert judged.is_silent
 
 
 def test_later_start_and_own_word_of_the_end_end_silence():
     judged = Judged()
     judged.look_for(30)
-    judged.book.note(announcement(incarnation=7))
-    assert not judged.book.silent and judged.book.working("plain")
+    judged.catalog.note(announcement(incarnation=7))
+    assert not judged.catalog.silent and judged.catalog.working("plain")
     judged.look_for(30)
-    judged.book.note_gone("u1")
-    assert not judged.book.silent and not judged.book.working("plain")
+    judged.catalog.note_gone("u1")
+    assert not judged.catalog.silent and not judged.catalog.working("plain")
 
 
 def test_told_silence_counts_unless_the_host_has_heard_of_the_upstream_since():
     judged = Judged()
     judged.look_for(10)
-    judged.book.note(announcement(sequence=1))
+    judged.catalog.note(announcement(sequence=1))
     judged.look_for(5)
-    judged.book.note_silent(KEY, age=20.0, told_by="c1")
+    judged.catalog.note_silent(KEY, age=20.0, told_by="c1")
     assert not judged.is_silent
-    judged.book.note_silent(("u1", 7), age=0.0, told_by="c1")
-    judged.book.note_silent(("u9", 0), age=0.0, told_by="c1")
-    assert not judged.book.silent
-    judged.book.note_silent(KEY, age=4.0, told_by="c1")
+    judged.catalog.note_silent(("u1", 7), age=0.0, told_by="c1")
+    judged.catalog.note_silent(("u9", 0), age=0.0, told_by="c1")
+    assert not judged.catalog.silent
+    judged.catalog.note_silent(KEY, age=4.0, told_by="c1")
     assert judged.is_silent
 
 
 def test_silent_upstreams_are_usable_only_where_no_other_is():
     judged = Judged()
     judged.look_for(30)
-    assert [each.id for each in judged.book.usable("plain")] == ["u1"]
-    judged.book.note(announcement("u2"))
-    assert [each.id for each in judged.book.usable("plain")] == ["u2"]
+    assert [each.id for each in judged.catalog.usable("plain")] == ["u1"]
+    judged.catalog.note(announcement("u2"))
+    assert [each.id for each in judged.catalog.usable("plain")] == ["u2"]
 
 
 def test_long_silent_upstream_is_forgotten_and_may_come_back():
     judged = Judged()
     forgotten = []
-    judged.book.subscribe_forgotten(forgotten.append)
+    judged.catalog.subscribe_forgotten(forgotten.append)
     judged.look_for(30)
     judged.clock.time += 600.0
-    judged.book.forget_silent(600.0)
+    judged.catalog.forget_silent(600.0)
     assert [each.id for each in forgotten] == ["u1"]
-    assert judged.book.all() == [] and not judged.book.silent
-    judged.book.note(announcement(sequence=9))
-    assert judged.book.working("plain")
+    assert judged.catalog.all() == [] and not judged.catalog.silent
+    judged.catalog.note(announcement(sequence=9))
+    assert judged.catalog.working("plain")
 
 
 class Voted:
@@ -183,14 +183,14 @@
 
     def __init__(self) -> None:
         self.clock = Clock()
-        self.book = UpstreamBook(self.clock.now)
-        self.votes = SilenceVotes(self.book, self.clock.now)
-        self.book.note(announcement())
+        self.catalog = UpstreamCatalog(self.clock.now)
+        self.votes = SilenceVotes(self.catalog, self.clock.now)
+        self.catalog.note(announcement())
 
     @property
     def is_silent(self) -> bool:
         """Whether the upstream counts as silent."""
-        return KEY in self.book.silent
+        return KEY in self.catalog.silent
 
 
 def test_one_control_host_that_hears_an_upstream_is_enough():
@@ -303,4 +303,4 @@
         await announce_once_and_fall_silent(world)
         await trio.sleep(32.0)
         for host in [*world.controls.values(), *world.entries.values()]:
-            assert host.book.all() == []
+            assert host.catalog.all() == []
--- a/tests/relaying/test_silent_upstreams.py
+++ b/tests/relaying/test_silent_upstreams.py
@@ -43,7 +43,7 @@
 
 def working(host) -> list[str]:
     """Return the upstreams of the plain service that a host counts on."""
-    return [each.id for each in host.book.working("plain")]
+    return [each.id for each in host.catalog.working("plain")]
 
 
 @pytest.mark.parametrize("cut_off", ["c0:1", "c1:1", "c2:1"])
--- a/tests/relaying/test_upstream_views.py
+++ b/tests/relaying/test_upstream_views.py
@@ -98,7 +98,7 @@
         """Raise unless entry hosts count on what lives, and on nothing that ended."""
         now = trio.current_time()
         for name, entry in self._world.entries.items():
-            working = {each.id for each in entry.book.working("plain")}
+            working = {each.id for each in entry.catalog.working("plain")}
             for upstream, (first, last) in self.heard.items():
                 lives = now - last < 2 * HEARTBEAT_SECONDS
                 if upstream in self.ending or upstream in self.crashed_at:
@@ -138,5 +138,5 @@
         await views._cut("c0:1", 5.0)
         await trio.sleep(SILENT_SECONDS - 5.0)
         for entry in world.entries.values():
-            assert entry.book.working("plain") == []
+            assert entry.catalog.working("plain") == []
         nursery.cancel_scope.cancel()
