--- a/measure/placement.py
+++ b/measure/placement.py
@@ -167,7 +167,7 @@
 
         catalog = UpstreamCatalog(now)
         for name in self._engines:
-            catalog.note(Announcement(name, "model", f"{name}:1", "z", sequence=1))
+            catalog.record(Announcement(name, "model", f"{name}:1", "z", sequence=1))
         count = self._settings.hosts
         rng = random.Random(seed)
         if not self._settings.tells:
--- a/proofs/relay.py
+++ b/proofs/relay.py
@@ -33,7 +33,7 @@
         5,
         "an upstream that says in an answer that it leaves is taken at its word",
         "relay/signals.py",
-        "if facts.is_leaving and self._catalog.note_leaving(upstream.key):",
+        "if facts.is_leaving and self._catalog.mark_leaving(upstream.key):",
         "if False:",
         (
             f"{_LEAVING}test_host_that_reaches_no_control_host_takes_an_answer_at_its_word",
@@ -43,7 +43,7 @@
         5,
         "what one host's answer says of its upstream is told to all",
         "coordination/control_desk.py",
-        "            self._catalog.note_leaving(upstream, sender)\n",
+        "            self._catalog.mark_leaving(upstream, sender)\n",
         "            pass\n",
         (f"{_LEAVING}test_one_hosts_answer_tells_all_hosts",),
     ),
--- a/src/pepperstep/coordination/control_desk.py
+++ b/src/pepperstep/coordination/control_desk.py
@@ -101,7 +101,7 @@
         peers.handle(pb.TableRequest, self._on_table)
         peers.handle(pb.AnswerNotice, self._on_answer_notice)
 
-    async def note_announcement(self, announcement: Announcement) -> None:
+    async def receive_announcement(self, announcement: Announcement) -> None:
         """Take in what an upstream says of itself.
 
         That it leaves has to bind all entry hosts once this returns, whoever restarts.
@@ -111,22 +111,22 @@
         self._check(announcement)
         arrived_at = self._timers.now()
         before = self._catalog.get(announcement.id)
-        self._catalog.note(announcement)
+        self._catalog.record(announcement)
         now = self._catalog.get(announcement.id)
         if announcement.takes_work or now.takes_work:
             return
         is_news = before is None or before.takes_work or now.key != before.key
         await self._acknowledge(now, is_news, arrived_at)
 
-    async def note_gone(self, upstream: str, incarnation: int | None = None) -> None:
-        """Take in that an upstream ends; raise as `note_announcement` does.
+    async def mark_gone(self, upstream: str, incarnation: int | None = None) -> None:
+        """Take in that an upstream ends; raise as `receive_announcement` does.
 
         Without an incarnation, it's the latest that is known.
         """
         arrived_at = self._timers.now()
         before = self._catalog.get(upstream)
         is_news = before is None or not before.is_gone
-        self._catalog.note_gone(upstream, incarnation)
+        self._catalog.mark_gone(upstream, incarnation)
         now = self._catalog.get(upstream)
         if not now.takes_work:
             await self._acknowledge(now, is_news, arrived_at)
@@ -134,11 +134,13 @@
     def absorb(self, control_host: str, reply: pb.SyncReply, age: float) -> None:
         """Take in another control host's answer that is `age` seconds old."""
         for message in reply.entries:
-            self._entries.note(EntryReport.from_message(message), age + message.age)
+            self._entries.record_relayed(
+                EntryReport.from_message(message), age + message.age
+            )
         for message in reply.upstreams:
             if message.is_silent:
                 key = (message.id, message.incarnation)
-                self._catalog.note_silent(key, age + message.age, control_host)
+                self._catalog.mark_silent(key, age + message.age, control_host)
 
     def _check(self, announcement: Announcement) -> None:
         """Raise `Failure` for an announcement that another writer must have made."""
@@ -173,17 +175,17 @@
         upstream = (message.upstream, message.incarnation)
         if message.HasField("limit"):
             limit = StatedLimit.from_message(message.limit, self._timers.now())
-            self._catalog.note_limit(upstream, limit, sender)
+            self._catalog.record_limit(upstream, limit, sender)
         if message.is_leaving:
-            self._catalog.note_leaving(upstream, sender)
+            self._catalog.mark_leaving(upstream, sender)
         return pb.AnswerNoticeReply()
 
     async def _on_sync(self, request: pb.SyncRequest, sender: str) -> pb.SyncReply:
         if request.HasField("entry"):
             is_known = request.registry_epoch == self._epoch
-            self._followers.note(sender, request.registry_version if is_known else 0)
+            self._followers.record(sender, request.registry_version if is_known else 0)
             report = EntryReport.from_message(request.entry)
-            self._entries.note_own(report, request.is_source)
+            self._entries.record(report, request.is_source)
         asked_at = self._timers.now()
         await self._wait_news(request)
         reply = pb.SyncReply(
@@ -204,7 +206,7 @@
             self._add_entries(request, reply)
         else:
             self._add_directory(request, reply)
-            totals = self._entries.admitted_besides(request.entry.host)
+            totals = self._entries.admitted_elsewhere(request.entry.host)
             reply.admitted_elsewhere.extend(counts_to_messages(totals))
         return reply
 
@@ -212,7 +214,7 @@
         return self._history.part_for(request)
 
     def _note_table(self, table: RouteTable) -> None:
-        self._history.note(self._tables.document)
+        self._history.add(self._tables.document)
 
     async def _wait_news(self, request: pb.SyncRequest) -> None:
         """Return once there is something that the asker doesn't have, or in time."""
--- a/src/pepperstep/coordination/departures.py
+++ b/src/pepperstep/coordination/departures.py
@@ -109,9 +109,9 @@
         if announcement.is_gone and not announcement.service:
             # The sender has heard of its end only, perhaps not of which start.
             incarnation = announcement.incarnation or None
-            self._catalog.note_gone(announcement.id, incarnation, sender)
+            self._catalog.mark_gone(announcement.id, incarnation, sender)
         else:
-            self._catalog.note(announcement, told_by=sender, heard_by=sender)
+            self._catalog.record(announcement, told_by=sender, heard_by=sender)
         await self._take_in()
         return pb.UpstreamNoticeReply()
 
--- a/src/pepperstep/coordination/followers.py
+++ b/src/pepperstep/coordination/followers.py
@@ -22,7 +22,7 @@
         self._known: dict[str, tuple[int, float]] = {}
         self._changed = trio.Event()
 
-    def note(self, host: str, version: int) -> None:
+    def record(self, host: str, version: int) -> None:
         """Take in that a host asks for what is newer than a version, 0 for all."""
         self._known[host] = version, self._timers.now()
         self._changed.set()
--- a/src/pepperstep/coordination/hints.py
+++ b/src/pepperstep/coordination/hints.py
@@ -86,7 +86,7 @@
             return
         for message in hints.upstreams:
             announcement = Announcement.from_message(message)
-            self._catalog.note(announcement, told_by=_FILE)
+            self._catalog.record(announcement, told_by=_FILE)
         self._entries.expect(hints.entry_count)
         self._rollouts.expect(hints.rollouts)
         logging.info(
--- a/src/pepperstep/coordination/sync.py
+++ b/src/pepperstep/coordination/sync.py
@@ -318,11 +318,11 @@
         for message in reply.upstreams:
             announcement = Announcement.from_message(message)
             heard_by = message.heard_by or name
-            self._catalog.note(announcement, message.age + age, name, heard_by)
+            self._catalog.record(announcement, message.age + age, name, heard_by)
             if message.HasField("limit"):
                 told_at = self._timers.now() - age
                 limit = StatedLimit.from_message(message.limit, told_at)
-                self._catalog.note_limit(announcement.key, limit, name)
+                self._catalog.record_limit(announcement.key, limit, name)
         source.version = reply.registry_version
         source.entries_version = reply.entries_version
         is_new_life = source.epoch != reply.registry_epoch
--- a/src/pepperstep/coordination/upstream_catalog.py
+++ b/src/pepperstep/coordination/upstream_catalog.py
@@ -141,7 +141,7 @@
         keys = [entry.announcement.key for entry in self._entries.values()]
         return sum(self.limit_of(key) is not None for key in keys)
 
-    def note_leaving(self, upstream: UpstreamKey, told_by: str = _ANSWER) -> bool:
+    def mark_leaving(self, upstream: UpstreamKey, told_by: str = _ANSWER) -> bool:
         """Take in that an upstream's answers say that it leaves.
 
         Return whether that's news.
@@ -153,7 +153,7 @@
         self._put(replace(entry, announcement=leaving), told_by)
         return True
 
-    def note_limit(
+    def record_limit(
         self, upstream: UpstreamKey, limit: StatedLimit, told_by: str = _ANSWER
     ) -> bool:
         """Take in a stated limit, and return whether it differs from the known one.
@@ -209,7 +209,7 @@
             for entry in self._entries.values()
         )
 
-    def note(
+    def record(
         self,
         announcement: Announcement,
         age: float = 0.0,
@@ -246,7 +246,7 @@
         self._put(entry, told_by)
         return True
 
-    def note_gone(
+    def mark_gone(
         self, upstream: str, incarnation: int | None = None, told_by: str = _ITSELF
     ) -> None:
         """Take in that a start of an upstream is gone, known or not.
@@ -262,9 +262,9 @@
         if incarnation > known.incarnation:
             known = replace(known, incarnation=incarnation, sequence=0)
         if incarnation == known.incarnation:
-            self.note(replace(known, is_gone=True), age, told_by)
+            self.record(replace(known, is_gone=True), age, told_by)
 
-    def note_silent(self, upstream: UpstreamKey, age: float, told_by: str) -> None:
+    def mark_silent(self, upstream: UpstreamKey, age: float, told_by: str) -> None:
         """Take in that a host whose latest word of an upstream is so old misses it.
 
         A host that has heard of the upstream since then knows better.
--- a/src/pepperstep/programs/control_host.py
+++ b/src/pepperstep/programs/control_host.py
@@ -202,13 +202,13 @@
         self._contact.check()
         return await self.rollouts.read(service)
 
-    async def note_announcement(self, announcement: Announcement) -> None:
+    async def receive_announcement(self, announcement: Announcement) -> None:
         """Take in what an upstream says of itself."""
-        await self.desk.note_announcement(announcement)
+        await self.desk.receive_announcement(announcement)
 
-    async def note_gone(self, upstream: str, incarnation: int | None = None) -> None:
+    async def mark_gone(self, upstream: str, incarnation: int | None = None) -> None:
         """Take in that an upstream ends."""
-        await self.desk.note_gone(upstream, incarnation)
+        await self.desk.mark_gone(upstream, incarnation)
 
     def entry_addresses(self, zone: str) -> list[str]:
         """Return addresses for callers, those of their availability zone first."""
@@ -257,4 +257,4 @@
         async for _ in self._timers.subscribe(_TIDY_SECONDS):
             self._silence.look()
             self.catalog.forget_silent(_FORGET_SECONDS)
-            self.entries.note_contacts()
+            self.entries.log_contact_changes()
--- a/src/pepperstep/relay/attempt.py
+++ b/src/pepperstep/relay/attempt.py
@@ -270,7 +270,7 @@
         attempt.note_failed(upstream.id, f"refused with {head.status}")
         if facts.other_upstream and facts.other_upstream != upstream.id:
             # The address belongs to another upstream by now.
-            self._catalog.note_gone(upstream.id, upstream.incarnation, _ANSWER)
+            self._catalog.mark_gone(upstream.id, upstream.incarnation, _ANSWER)
         return Outcome.NOT_RUN
 
     async def _keep_failure(
--- a/src/pepperstep/relay/permits.py
+++ b/src/pepperstep/relay/permits.py
@@ -166,13 +166,13 @@
         if reply is None:
             return None
         known = StatedLimit.from_message(reply.limit, self._now())
-        self._catalog.note_limit(upstream, known, keeper)
+        self._catalog.record_limit(upstream, known, keeper)
         return reply.wait
 
     async def _on_claim(self, message: pb.PermitClaim, sender: str) -> pb.PermitReply:
         upstream = (message.upstream, message.incarnation)
         limit = StatedLimit.from_message(message.limit, self._now())
-        self._catalog.note_limit(upstream, limit, sender)
+        self._catalog.record_limit(upstream, limit, sender)
         latest = self._catalog.latest_limit(upstream) or limit
         wait = 0.0 if latest.rate is None else self._grant(upstream, latest)
         return pb.PermitReply(wait=wait, limit=latest.to_message(self._now()))
@@ -182,7 +182,7 @@
     ) -> pb.PermitsGrantedReply:
         upstream = (message.upstream, message.incarnation)
         limit = StatedLimit.from_message(message.limit, self._now())
-        self._catalog.note_limit(upstream, limit, sender)
+        self._catalog.record_limit(upstream, limit, sender)
         if limit.rate is not None:
             rate = max(limit.rate, _LEAST_RATE)
             bucket = self._bucket(upstream)
--- a/src/pepperstep/relay/signals.py
+++ b/src/pepperstep/relay/signals.py
@@ -59,13 +59,13 @@
             return
         if facts.retry_after and status in _TURNED_AWAY:
             self._backoff.hold(upstream.key, facts.retry_after, "retry after")
-        if facts.is_leaving and self._catalog.note_leaving(upstream.key):
+        if facts.is_leaving and self._catalog.mark_leaving(upstream.key):
             self._log_leaving(upstream, facts)
             self._tell_soon(upstream.key)
         if self._states_no_limit(upstream.key, status, facts, begun_at):
             return
         limit = StatedLimit(facts.rate_limit, self._timers.now())
-        if self._catalog.note_limit(upstream.key, limit):
+        if self._catalog.record_limit(upstream.key, limit):
             self._tell_soon(upstream.key)
 
     async def run(self) -> None:
--- a/tests/relaying/test_acknowledged_leaving.py
+++ b/tests/relaying/test_acknowledged_leaving.py
@@ -79,7 +79,7 @@
                 if host not in self.world.controls:
                     continue
                 if is_end:
-                    await self.world.controls[host].note_gone(name)
+                    await self.world.controls[host].mark_gone(name)
                 else:
                     await self.world.announce(
                         host, name, "plain", sequence=sequence, is_leaving=True
@@ -351,7 +351,7 @@
         scene.world.network.heal()
         host = scene.world.controls["c1:1"]
         assert host.catalog.get("v") is None
-        await host.note_gone("v", incarnation)
+        await host.mark_gone("v", incarnation)
         scene.upstreams.acknowledged["v"] = trio.current_time()
         await trio.sleep(6.0)
 
@@ -360,7 +360,7 @@
     async with serving(5) as scene:
         await scene.world.announce("c0:1", "u", "plain", incarnation=5)
         await trio.sleep(1.0)
-        await scene.world.controls["c1:1"].note_gone("u", 4)
+        await scene.world.controls["c1:1"].mark_gone("u", 4)
         await trio.sleep(1.0)
         for host in scene.world.entries.values():
             assert host.catalog.get("u").takes_work
--- a/tests/relaying/test_coordination.py
+++ b/tests/relaying/test_coordination.py
@@ -78,23 +78,23 @@
 async def test_late_announcement_does_not_bring_an_upstream_back(autojump_clock):
     catalog = UpstreamCatalog(trio.current_time)
     first = Announcement("u1", "plain", "a:1", "z1", sequence=4)
-    catalog.note(first)
-    catalog.note_gone("u1")
-    catalog.note(Announcement("u1", "plain", "a:1", "z1", sequence=9))
+    catalog.record(first)
+    catalog.mark_gone("u1")
+    catalog.record(Announcement("u1", "plain", "a:1", "z1", sequence=9))
     assert catalog.working("plain") == []
 
 
 async def test_end_may_be_heard_of_before_the_first_announcement(autojump_clock):
     catalog = UpstreamCatalog(trio.current_time)
-    catalog.note_gone("u1")
-    catalog.note(Announcement("u1", "plain", "a:1", "z1", sequence=1))
+    catalog.mark_gone("u1")
+    catalog.record(Announcement("u1", "plain", "a:1", "z1", sequence=1))
     assert catalog.working("plain") == []
 
 
 async def test_lower_sequence_is_older(autojump_clock):
     catalog = UpstreamCatalog(trio.current_time)
-    catalog.note(Announcement("u1", "plain", "a:2", "z1", sequence=5))
-    catalog.note(Announcement("u1", "plain", "a:1", "z1", sequence=3))
+    catalog.record(Announcement("u1", "plain", "a:2", "z1", sequence=5))
+    catalog.record(Announcement("u1", "plain", "a:1", "z1", sequence=3))
     assert catalog.get("u1").address == "a:2"
 
 
--- a/tests/relaying/test_entry_host_catalog.py
+++ b/tests/relaying/test_entry_host_catalog.py
@@ -46,20 +46,20 @@
 def tell(catalog: EntryHostCatalog, other: EntryHostCatalog, since: int) -> int:
     """Let one book's host tell another's what is new, and return the version told."""
     for message in catalog.messages_since(since):
-        other.note(EntryReport.from_message(message), message.age)
+        other.record_relayed(EntryReport.from_message(message), message.age)
     return catalog.version
 
 
 def test_only_what_changed_is_told(catalog):
     full = {"desk": 500, "shop": 70}
     for number in range(200):
-        catalog.note_own(
+        catalog.record(
             report(number, admitted=full, windows={6: {"desk": 3}, 7: full}), True
         )
     version = catalog.version
     assert len(catalog.messages_since(0)) == 200
     assert catalog.messages_since(version) == []
-    catalog.note_own(report(3, admitted={"desk": 600}, windows={8: {"desk": 1}}), True)
+    catalog.record(report(3, admitted={"desk": 600}, windows={8: {"desk": 1}}), True)
     (message,) = catalog.messages_since(version)
     told = EntryReport.from_message(message)
     assert told.host == "e3:1"
@@ -69,7 +69,7 @@
 
 def test_a_report_is_told_by_the_host_that_got_it(catalog, clock):
     other = EntryHostCatalog(clock)
-    catalog.note_own(report(1), True)
+    catalog.record(report(1), True)
     tell(catalog, other, 0)
     assert [each.host for each in other.ready()] == ["e1:1"]
     assert other.messages_since(0) == []
@@ -98,7 +98,7 @@
         for index, catalog in enumerate(self._books):
             if is_answered[index] or arrives:
                 news = self.report.changed_since(self._told[index])
-                catalog.note_own(news, index == self.source)
+                catalog.record(news, index == self.source)
             self._told[index] = self.report if is_answered[index] else None
 
     def restart(self) -> None:
@@ -126,7 +126,7 @@
         if rng.random() < 0.1:
             asker.source = 1 - asker.source
         asker.count(step // 40, rng.choice(("desk", "shop")))
-        whole.note_own(asker.report, True)
+        whole.record(asker.report, True)
         asker.tell((rng.random() < 0.8, rng.random() < 0.8), rng.random() < 0.5)
         for catalog in (one, two):
             if rng.random() < 0.3:
@@ -139,16 +139,16 @@
         for window in range(5):
             assert catalog.counts_of(window) == whole.counts_of(window)
         for host in ("", "e0:1", "e4:1"):
-            assert catalog.admitted_besides(host) == whole.admitted_besides(host)
+            assert catalog.admitted_elsewhere(host) == whole.admitted_elsewhere(host)
 
 
 def test_a_new_source_tells_all_that_it_has_heard(catalog, clock):
     """The source before may have gone with what it hasn't told yet."""
-    catalog.note_own(report(1, admitted={"desk": 5}, windows={6: {"desk": 1}}), False)
+    catalog.record(report(1, admitted={"desk": 5}, windows={6: {"desk": 1}}), False)
     assert catalog.messages_since(0) == []
-    catalog.note_own(report(2), True)
+    catalog.record(report(2), True)
     version = catalog.version
-    catalog.note_own(report(1, admitted={"shop": 7}), True)
+    catalog.record(report(1, admitted={"shop": 7}), True)
     (message,) = catalog.messages_since(version)
     told = EntryReport.from_message(message)
     assert told.admitted == {"desk": 5, "shop": 7}
@@ -156,31 +156,31 @@
 
 
 def test_counts_of_forgotten_lives_are_taken_off(catalog, clock):
-    catalog.note_own(report(1, admitted={"desk": 500}), True)
+    catalog.record(report(1, admitted={"desk": 500}), True)
     clock.time += 59.0
-    catalog.note_own(report(2, admitted={"desk": 30}), True)
+    catalog.record(report(2, admitted={"desk": 30}), True)
     clock.time += 2.0
     catalog.messages_since(0)
-    assert catalog.admitted_besides("e9:1") == {"desk": 30}
-    assert catalog.admitted_besides("e2:1") == {"desk": 0}
+    assert catalog.admitted_elsewhere("e9:1") == {"desk": 30}
+    assert catalog.admitted_elsewhere("e2:1") == {"desk": 0}
 
 
 def test_readiness_is_told_at_once_and_silence_in_time(catalog, clock):
     for number in range(6):
-        catalog.note_own(report(number), True)
+        catalog.record(report(number), True)
     assert len(catalog.directory("z1").entries) == 6
-    catalog.note_own(report(4, is_ready=False), True)
+    catalog.record(report(4, is_ready=False), True)
     assert len(catalog.directory("z1").entries) == 5
     clock.time += 0.6
     for number in range(3):
-        catalog.note_own(report(number), True)
+        catalog.record(report(number), True)
     clock.time += 0.65
     assert len(catalog.directory("z1").entries) == 3
     assert len(catalog.ready()) == 3
 
 
 def test_directories_are_not_kept_for_zones_that_callers_make_up(catalog, monkeypatch):
-    catalog.note_own(report(0), True)
+    catalog.record(report(0), True)
     made = []
     make = Directory.from_reports
     monkeypatch.setattr(
--- a/tests/relaying/test_ordering.py
+++ b/tests/relaying/test_ordering.py
@@ -87,7 +87,7 @@
             raise Failure(Code.OVERLOADED, "None of that kind is to be had.")
         self._wanted[key] = order.count
         while len(standing) > order.count:
-            self._catalog.note_gone(standing.pop())
+            self._catalog.mark_gone(standing.pop())
         self._nursery.start_soon(self._boot, key)
 
     async def _boot(self, key: tuple[str, bool]) -> None:
@@ -110,12 +110,12 @@
             self._note(name, (zone, True), sequence=2, is_leaving=True)
         await trio.sleep(seconds)
         for name in leaving:
-            self._catalog.note_gone(name)
+            self._catalog.mark_gone(name)
 
     def _note(self, name: str, key: tuple[str, bool], **facts) -> None:
         zone, is_reclaimable = key
         facts = {"sequence": 1, "is_reclaimable": is_reclaimable} | facts
-        self._catalog.note(Announcement(name, "model", f"{name}:80", zone, **facts))
+        self._catalog.record(Announcement(name, "model", f"{name}:80", zone, **facts))
 
 
 class World:
@@ -255,12 +255,12 @@
     async with start_world() as world:
         heard_late = world.catalog.working("model")[3:]
         for each in heard_late:
-            world.catalog.note_gone(each.id)
+            world.catalog.mark_gone(each.id)
         await trio.sleep(2.0)
         assert world.platform.steady_orders() in ({"a": 3}, {})
         for each in heard_late:
             later = dataclasses.replace(each, id=f"{each.id}-again")
-            world.catalog.note(later)
+            world.catalog.record(later)
         await trio.sleep(0.6)
         assert world.platform.steady_orders() == dict.fromkeys(ZONES, 1)
 
--- a/tests/relaying/test_shared_load.py
+++ b/tests/relaying/test_shared_load.py
@@ -38,7 +38,7 @@
         peers = FakePeers(name, network, timers, nursery)
         self.catalog = UpstreamCatalog(trio.current_time)
         for upstream in UPSTREAMS:
-            self.catalog.note(Announcement(upstream, "model", f"{upstream}:80", "z1"))
+            self.catalog.record(Announcement(upstream, "model", f"{upstream}:80", "z1"))
         prompts = PromptMemory(trio.current_time)
         self.keepers = Keepers(name, peers, timers, lambda: names[:KEEPERS])
         self.load = SharedLoad(
@@ -248,7 +248,7 @@
                 leaving = Announcement(
                     upstream, "model", "", "z1", sequence=1, is_leaving=True
                 )
-                host.catalog.note(leaving)
+                host.catalog.record(leaving)
         assert chosen[0].upstream.id == UPSTREAMS[2]
 
 
--- a/tests/relaying/test_sight.py
+++ b/tests/relaying/test_sight.py
@@ -42,7 +42,7 @@
         assert ("", "working", "itself") in states(events)
         assert ("", "working", "c0:1") in states(events)
         events.clear()
-        await world.controls["c1:1"].note_gone("u1")
+        await world.controls["c1:1"].mark_gone("u1")
         await trio.sleep(1.0)
         assert ("working", "gone", "itself") in states(events)
         assert ("working", "gone", "c1:1") in states(events)
@@ -52,7 +52,7 @@
     async with open_world() as world:
         await world.announce("c0:1", "u1", "plain", sequence=7)
         await trio.sleep(3.0)
-        await world.controls["c1:1"].note_gone("u1")
+        await world.controls["c1:1"].mark_gone("u1")
         gone = [
             each
             for each in events
@@ -98,7 +98,7 @@
     async with open_world() as world:
         await world.announce("c0:1", "u1", "plain")
         await world.announce("c0:1", "u2", "plain")
-        await world.controls["c0:1"].note_gone("u2")
+        await world.controls["c0:1"].mark_gone("u2")
         await trio.sleep(1.0)
         for host in [*world.controls.values(), *world.entries.values()]:
             assert "pepperstep_upstreams 1.0" in host.metrics.render().decode()
@@ -155,7 +155,7 @@
             await world.announce(
                 "c0:1", "u1", "plain", sequence=sequence, is_leaving=True
             )
-        await world.controls["c1:1"].note_gone("u1")
+        await world.controls["c1:1"].mark_gone("u1")
     first, repeat, end = (
         each for each in events if isinstance(each, LeavingAcknowledged)
     )
--- a/tests/relaying/test_silence.py
+++ b/tests/relaying/test_silence.py
@@ -58,7 +58,7 @@
             "c0", lambda: ["c0", "c1", "c2"], lambda: self.reached, self.clock.now
         )
         self.judge = SilenceJudge(self.catalog, self.clock.now, contact)
-        self.catalog.note(announcement())
+        self.catalog.record(announcement())
 
     def look_for(self, seconds: int) -> None:
         """Let time pass."""
@@ -94,13 +94,13 @@
 def test_upstream_of_a_control_host_out_of_reach_is_judged_late():
     judged = Judged()
     judged.clock.time += 0.5
-    judged.catalog.note(announcement(sequence=2), told_by="c1", heard_by="c2")
+    judged.catalog.record(announcement(sequence=2), told_by="c1", heard_by="c2")
     judged.reached = ["c1"]
     judged.look_for(300)
     assert not judged.is_silent
     judged.look_for(1)
     assert judged.is_silent
-    judged.catalog.note(announcement(sequence=3), told_by="c1", heard_by="c2")
+    judged.catalog.record(announcement(sequence=3), told_by="c1", heard_by="c2")
     judged.look_for(60)
     assert not judged.is_silent
     judged.reached = ["c1", "c2"]
@@ -121,7 +121,7 @@
     judged = Judged()
     judged.look_for(30)
     before = judged.catalog.version
-    judged.catalog.note(announcement(sequence=1))
+    judged.catalog.record(announcement(sequence=1))
     assert not judged.is_silent and judged.catalog.working("plain")
     assert judged.catalog.version > before
 
@@ -129,31 +129,31 @@
 def test_announcement_that_came_before_the_silence_does_not_end_it():
     judged = Judged()
     judged.look_for(30)
-    judged.catalog.note(announcement(sequence=1), age=15.0)
+    judged.catalog.record(announcement(sequence=1), age=15.0)
     assert judged.is_silent
 
 
 def test_later_start_and_own_word_of_the_end_end_silence():
     judged = Judged()
     judged.look_for(30)
-    judged.catalog.note(announcement(incarnation=7))
+    judged.catalog.record(announcement(incarnation=7))
     assert not judged.catalog.silent and judged.catalog.working("plain")
     judged.look_for(30)
-    judged.catalog.note_gone("u1")
+    judged.catalog.mark_gone("u1")
     assert not judged.catalog.silent and not judged.catalog.working("plain")
 
 
 def test_told_silence_counts_unless_the_host_has_heard_of_the_upstream_since():
     judged = Judged()
     judged.look_for(10)
-    judged.catalog.note(announcement(sequence=1))
+    judged.catalog.record(announcement(sequence=1))
     judged.look_for(5)
-    judged.catalog.note_silent(KEY, age=20.0, told_by="c1")
+    judged.catalog.mark_silent(KEY, age=20.0, told_by="c1")
     assert not judged.is_silent
-    judged.catalog.note_silent(("u1", 7), age=0.0, told_by="c1")
-    judged.catalog.note_silent(("u9", 0), age=0.0, told_by="c1")
+    judged.catalog.mark_silent(("u1", 7), age=0.0, told_by="c1")
+    judged.catalog.mark_silent(("u9", 0), age=0.0, told_by="c1")
     assert not judged.catalog.silent
-    judged.catalog.note_silent(KEY, age=4.0, told_by="c1")
+    judged.catalog.mark_silent(KEY, age=4.0, told_by="c1")
     assert judged.is_silent
 
 
@@ -161,7 +161,7 @@
     judged = Judged()
     judged.look_for(30)
     assert [each.id for each in judged.catalog.usable("plain")] == ["u1"]
-    judged.catalog.note(announcement("u2"))
+    judged.catalog.record(announcement("u2"))
     assert [each.id for each in judged.catalog.usable("plain")] == ["u2"]
 
 
@@ -174,7 +174,7 @@
     judged.catalog.forget_silent(600.0)
     assert [each.id for each in forgotten] == ["u1"]
     assert judged.catalog.all() == [] and not judged.catalog.silent
-    judged.catalog.note(announcement(sequence=9))
+    judged.catalog.record(announcement(sequence=9))
     assert judged.catalog.working("plain")
 
 
@@ -185,7 +185,7 @@
         self.clock = Clock()
         self.catalog = UpstreamCatalog(self.clock.now)
         self.votes = SilenceVotes(self.catalog, self.clock.now)
-        self.catalog.note(announcement())
+        self.catalog.record(announcement())
 
     @property
     def is_silent(self) -> bool:
--- a/tests/relaying/test_table_updates.py
+++ b/tests/relaying/test_table_updates.py
@@ -106,7 +106,7 @@
     history = TableHistory()
     documents = [make_document(version, 50 + version) for version in range(1, 300)]
     for document in documents:
-        history.note(document)
+        history.add(document)
     for held in (Document(), documents[0], documents[100], documents[-2]):
         assert fetch_all(history, held) == documents[-1]
     assert not history.part_for(pb.TableRequest(from_version=299)).data
@@ -118,10 +118,10 @@
 def test_update_that_is_overtaken_while_it_is_fetched_goes_on():
     history = TableHistory()
     documents = [make_document(version, 3000) for version in (1, 2)]
-    history.note(documents[0])
+    history.add(documents[0])
     first = history.part_for(pb.TableRequest())
     assert len(first.data) < first.size
-    history.note(documents[1])
+    history.add(documents[1])
     second = history.part_for(
         pb.TableRequest(digest=first.digest, offset=len(first.data))
     )
@@ -131,7 +131,7 @@
 @pytest.mark.parametrize("offset", [0, 5, 2**32 - 1])
 def test_unknown_digest_and_offset_begin_anew(offset):
     history = TableHistory()
-    history.note(make_document(1))
+    history.add(make_document(1))
     part = history.part_for(pb.TableRequest(digest=77, offset=offset))
     assert part.offset == 0
     assert part.data
@@ -156,7 +156,7 @@
     def add(self, name, *documents, answer=None):
         history = self.histories[name] = TableHistory()
         for document in documents:
-            history.note(document)
+            history.add(document)
         peers = FakePeers(name, self.network, self._timers, self._nursery)
 
         async def on_request(request, sender):
--- a/tests/relaying/test_upstream_restarts.py
+++ b/tests/relaying/test_upstream_restarts.py
@@ -40,21 +40,21 @@
 
 async def test_later_start_replaces_all_that_was_known(autojump_clock):
     catalog = UpstreamCatalog(trio.current_time)
-    catalog.note(announcement(is_leaving=True, warmup=2.0))
-    catalog.note_gone("u1")
+    catalog.record(announcement(is_leaving=True, warmup=2.0))
+    catalog.mark_gone("u1")
     again = announcement(incarnation=AFTER, sequence=1, address="u1:81")
-    assert catalog.note(again)
+    assert catalog.record(again)
     assert catalog.working("plain") == [again]
 
 
 async def test_announcement_of_an_earlier_start_changes_nothing(autojump_clock):
     catalog = UpstreamCatalog(trio.current_time)
     again = announcement(incarnation=AFTER, sequence=1)
-    catalog.note(again)
+    catalog.record(again)
     heard_at = catalog.age("u1")
     await trio.sleep(2.0)
-    assert not catalog.note(announcement(sequence=99, is_leaving=True))
-    assert not catalog.note(announcement(sequence=99, incarnation=0))
+    assert not catalog.record(announcement(sequence=99, is_leaving=True))
+    assert not catalog.record(announcement(sequence=99, incarnation=0))
     assert catalog.working("plain") == [again]
     assert catalog.age("u1") == heard_at + 2.0
 
@@ -62,10 +62,10 @@
 async def test_end_of_an_earlier_start_does_not_end_the_later_one(autojump_clock):
     catalog = UpstreamCatalog(trio.current_time)
     again = announcement(incarnation=AFTER, sequence=1)
-    catalog.note(again)
-    catalog.note_gone("u1", BEFORE)
+    catalog.record(again)
+    catalog.mark_gone("u1", BEFORE)
     assert catalog.working("plain") == [again]
-    catalog.note_gone("u1", AFTER)
+    catalog.mark_gone("u1", AFTER)
     assert catalog.working("plain") == []
 
 
@@ -74,20 +74,20 @@
 ):
     monkeypatch.setattr("pepperstep.coordination.upstream_catalog._MAX_GONE", 1)
     catalog = UpstreamCatalog(trio.current_time)
-    catalog.note(announcement())
-    catalog.note_gone("u1")
+    catalog.record(announcement())
+    catalog.mark_gone("u1")
     again = announcement(incarnation=AFTER, sequence=1)
-    catalog.note(again)
-    catalog.note_gone("u2")
-    catalog.note_gone("u3")
+    catalog.record(again)
+    catalog.mark_gone("u2")
+    catalog.mark_gone("u3")
     assert catalog.working("plain") == [again]
 
 
 async def test_service_does_not_change_within_a_start(autojump_clock):
     catalog = UpstreamCatalog(trio.current_time)
-    catalog.note(announcement())
-    assert not catalog.note(announcement(service="model", sequence=9))
-    assert not catalog.note(announcement(service="?", sequence=9, is_leaving=True))
+    catalog.record(announcement())
+    assert not catalog.record(announcement(service="model", sequence=9))
+    assert not catalog.record(announcement(service="?", sequence=9, is_leaving=True))
     assert catalog.working("plain") == [announcement()]
 
 
@@ -117,7 +117,7 @@
     catalog = UpstreamCatalog(lambda: 0.0)
     for each in shuffled:
         before = catalog.get("u1")
-        catalog.note(each)
+        catalog.record(each)
         now = catalog.get("u1")
         if before is not None:
             assert now.incarnation >= before.incarnation
@@ -257,10 +257,10 @@
     class Taken:
         """Takes whatever the border lets through."""
 
-        async def note_announcement(self, announcement):
+        async def receive_announcement(self, announcement):
             announcement.to_message()
 
-        async def note_gone(self, upstream, incarnation):
+        async def mark_gone(self, upstream, incarnation):
             pass
 
     assert trio.run(beat, Taken(), body, "i-1", path) in (200, 400)
@@ -279,14 +279,14 @@
         host = world.controls["c0:1"]
         await world.put(5, document(5, services=services))
         await trio.sleep(0.5)
-        await host.note_announcement(announcement(service="later"))
+        await host.receive_announcement(announcement(service="later"))
         await world.put(6)
         await trio.sleep(0.5)
         # One that is known may still say that it leaves.
-        await host.note_announcement(
+        await host.receive_announcement(
             announcement(service="later", sequence=8, is_leaving=True)
         )
         with pytest.raises(Failure) as caught:
             unknown = Announcement("u2", "later", "u2:80", "z1")
-            await host.note_announcement(unknown)
+            await host.receive_announcement(unknown)
         assert caught.value.code is Code.INVALID_REQUEST
--- a/tests/relaying/test_upstream_views.py
+++ b/tests/relaying/test_upstream_views.py
@@ -62,7 +62,7 @@
                 await trio.sleep(0.3)
                 continue
             try:
-                await self._world.controls[host].note_gone(upstream)
+                await self._world.controls[host].mark_gone(upstream)
             except Failure:
                 await trio.sleep(0.3)
             else:
