--- a/proofs/relay.py
+++ b/proofs/relay.py
@@ -42,7 +42,7 @@
     Mechanism(
         5,
         "what one host's answer says of its upstream is told to all",
-        "coordination/control_desk.py",
+        "coordination/sync_server.py",
         "            self._catalog.mark_leaving(upstream, sender)\n",
         "            pass\n",
         (f"{_LEAVING}test_one_hosts_answer_tells_all_hosts",),
@@ -166,7 +166,7 @@
     Mechanism(
         5,
         "a repeat of an upstream's leaving is told again",
-        "coordination/control_desk.py",
+        "coordination/sync_server.py",
         "now.key != before.key\n        await self._acknowledge(",
         "now.key != before.key\n        is_news and await self._acknowledge(",
         (f"{_ACKNOWLEDGED}[leaves-repeat_at_a_host_cut_off-5-3]",),
@@ -200,7 +200,7 @@
     Mechanism(
         5,
         "entry hosts ask most voters",
-        "coordination/sync.py",
+        "coordination/sync_client.py",
         "most_voters = len(self._voters) // 2 + 1",
         "most_voters = 0",
         (f"{_ACKNOWLEDGED}[leaves-say_it_at_a_majority-12-5]",),
@@ -217,14 +217,14 @@
         6,
         "a leaving entry host tells so at once",
         "programs/entry_host.py",
-        "            self.sync.ask_now()\n",
+        "            self.sync.sync_now()\n",
         "            pass\n",
         (f"{_COORDINATION}test_leaving_entry_host_leaves_the_directory_at_once",),
     ),
     Mechanism(
         6,
         "entry hosts' reports age on their way",
-        "coordination/control_desk.py",
+        "coordination/sync_server.py",
         "EntryReport.from_message(message), age + message.age)",
         "EntryReport.from_message(message), age)",
         ("tests/relaying/test_entry_host_catalog.py::test_reports_age_on_their_way",),
@@ -318,7 +318,7 @@
     Mechanism(
         8,
         "the control host that counts most entry hosts is believed",
-        "coordination/sync.py",
+        "coordination/sync_client.py",
         "        self.entry_count = max(1, *counts)\n",
         "        self.entry_count = max(1, reply.entry_count)\n",
         (
@@ -329,7 +329,7 @@
     Mechanism(
         9,
         "a control host without contact doesn't rule the directory",
-        "coordination/sync.py",
+        "coordination/sync_client.py",
         "        if reply.is_in_contact or not any(in_contact):\n",
         "        if True:\n",
         (f"{_PARTIAL}test_callers_are_told_of_all_entry_hosts",),
@@ -401,7 +401,7 @@
     Mechanism(
         7,
         "hosts that start ask often",
-        "coordination/sync.py",
+        "coordination/sync_client.py",
         "if is_reached or self._timers.now() < eager_until:",
         "if is_reached:",
         (f"{_COORDINATION}test_entry_host_soon_finds_control_hosts_that_start_later",),
@@ -476,7 +476,7 @@
     Mechanism(
         1,
         "entry hosts tell callers where to connect while control hosts are down",
-        "coordination/control_desk.py",
+        "coordination/sync_server.py",
         "            reply.directory.CopyFrom(directory.to_message())\n",
         "            pass\n",
         (
@@ -487,7 +487,7 @@
     Mechanism(
         8,
         "a host's own clock is one vote on the true time",
-        "coordination/sync.py",
+        "coordination/sync_client.py",
         "return now + _middle(others, self._timers.wall() - now)",
         "return self._timers.wall()",
         (
@@ -525,7 +525,7 @@
     Mechanism(
         7,
         "one control host tells the others of an entry host",
-        "coordination/sync.py",
+        "coordination/sync_client.py",
         "return not in_contact or name == in_contact[0]",
         "return True",
         (
--- a/src/pepperstep/coordination/__init__.py
+++ b/src/pepperstep/coordination/__init__.py
@@ -1,6 +1,5 @@
 """What hosts know together: route tables, upstreams, entry hosts, usage."""
 
-from pepperstep.coordination.control_desk import ControlDesk
 from pepperstep.coordination.directory import Directory
 from pepperstep.coordination.duty import Duty
 from pepperstep.coordination.entry_host_catalog import EntryHostCatalog
@@ -13,7 +12,8 @@
     StatedLimit,
     UpstreamKey,
 )
-from pepperstep.coordination.sync import Sync, SyncSettings
+from pepperstep.coordination.sync_client import SyncClient, SyncSettings
+from pepperstep.coordination.sync_server import SyncServer
 from pepperstep.coordination.tables import (
     TABLE_MACHINE,
     TableMachine,
@@ -27,7 +27,7 @@
     "TABLE_MACHINE",
     "USAGE_MACHINE",
     "Announcement",
-    "ControlDesk",
+    "SyncServer",
     "Directory",
     "Duty",
     "EntryHostCatalog",
@@ -36,7 +36,7 @@
     "Ordering",
     "ServiceWork",
     "StatedLimit",
-    "Sync",
+    "SyncClient",
     "SyncSettings",
     "TableMachine",
     "TableStore",
--- a/src/pepperstep/coordination/control_desk.py
+++ b/src/pepperstep/coordination/sync_server.py
@@ -25,7 +25,7 @@
 from pepperstep.proto import coordination_pb2 as pb
 from pepperstep.proto.rollouts_pb2 import RolloutRecord
 
-__all__ = ["ControlDesk"]
+__all__ = ["SyncServer"]
 
 # Longest time that a question waits for something new, in seconds.
 _MAX_WAIT_SECONDS = 5.0
@@ -55,7 +55,7 @@
         """Call `subscriber` at each change."""
 
 
-class ControlDesk:
+class SyncServer:
     """Answers hosts' questions and takes in their reports."""
 
     def __init__(
@@ -131,7 +131,7 @@
         if not now.takes_work:
             await self._acknowledge(now, is_news, arrived_at)
 
-    def absorb(self, control_host: str, reply: pb.SyncReply, age: float) -> None:
+    def merge_reply(self, control_host: str, reply: pb.SyncReply, age: float) -> None:
         """Take in another control host's answer that is `age` seconds old."""
         for message in reply.entries:
             self._entries.record_relayed(
--- a/src/pepperstep/programs/control_host.py
+++ b/src/pepperstep/programs/control_host.py
@@ -8,11 +8,11 @@
     TABLE_MACHINE,
     USAGE_MACHINE,
     Announcement,
-    ControlDesk,
     Duty,
     EntryHostCatalog,
     Ordering,
-    Sync,
+    SyncClient,
+    SyncServer,
     TableMachine,
     TableStore,
     UpstreamCatalog,
@@ -82,7 +82,7 @@
         self.agreement.register(ROLLOUT_MACHINE, self._rollout_machine)
         self.catalog = UpstreamCatalog(ports.timers.now, self._peer_name)
         self.entries = EntryHostCatalog(ports.timers.now)
-        self.sync = Sync(
+        self.sync = SyncClient(
             self._peer_name,
             settings.seeds,
             ports.peers,
@@ -103,7 +103,7 @@
             self.entries,
             ports.peers,
             ports.timers,
-            lambda: self.sync.true_time,
+            lambda: self.sync.median_time,
             settings.bounds.order_seconds + _RESEND_MARGIN_SECONDS,
             ExposureBound(
                 settings.bounds.expose_share, settings.bounds.expose_allowance
@@ -128,7 +128,7 @@
             self.agreement.voters,
             self._hints.store,
         )
-        self.desk = ControlDesk(
+        self.sync_server = SyncServer(
             self._peer_name,
             ports.peers,
             ports.timers,
@@ -143,7 +143,7 @@
             is_in_contact=self._contact.is_held,
             rollouts=self.rollouts,
         )
-        self.sync.on_reply = self.desk.absorb
+        self.sync.on_reply = self.sync_server.merge_reply
         self._silence = SilenceJudge(self.catalog, ports.timers.now, self._contact)
         self._duty = Duty(
             settings.host, self.agreement, ports.timers, settings.bounds.duty_lease
@@ -204,11 +204,11 @@
 
     async def receive_announcement(self, announcement: Announcement) -> None:
         """Take in what an upstream says of itself."""
-        await self.desk.receive_announcement(announcement)
+        await self.sync_server.receive_announcement(announcement)
 
     async def mark_gone(self, upstream: str, incarnation: int | None = None) -> None:
         """Take in that an upstream ends."""
-        await self.desk.mark_gone(upstream, incarnation)
+        await self.sync_server.mark_gone(upstream, incarnation)
 
     def entry_addresses(self, zone: str) -> list[str]:
         """Return addresses for callers, those of their availability zone first."""
@@ -236,7 +236,7 @@
             self.entries,
             ports.ledger,
             ports.timers,
-            lambda: self.sync.true_time,
+            lambda: self.sync.median_time,
         )
 
     def _make_ordering(self, ports: RelayPorts) -> Ordering | None:
--- a/src/pepperstep/programs/entry_host.py
+++ b/src/pepperstep/programs/entry_host.py
@@ -7,7 +7,7 @@
     Announcement,
     EntryReport,
     HostShare,
-    Sync,
+    SyncClient,
     TableStore,
     UpstreamCatalog,
     UpstreamKey,
@@ -68,7 +68,7 @@
         self.metrics = RelayMetrics()
         self.tables = TableStore(ports.decode)
         self.catalog = UpstreamCatalog(now)
-        self.sync = Sync(
+        self.sync = SyncClient(
             settings.peer_address,
             settings.seeds,
             ports.peers,
@@ -173,7 +173,7 @@
         self.tables.subscribe(self._quotas.watch)
         self.sync.on_admitted = self._quotas.note_elsewhere
         self.sync.on_restart = self._quotas.note_restart
-        self.sync.is_hurried = lambda: self._quotas.is_pressed
+        self.sync.needs_fresh_counts = lambda: self._quotas.is_pressed
         self.catalog.subscribe(self._note_upstream)
         self.catalog.subscribe_restarts(self._note_ended)
         self.catalog.subscribe_forgotten(self._note_forgotten)
@@ -208,7 +208,7 @@
         if self._leaving_since is None:
             logging.info("entry: Leaves.")
             self._leaving_since = self._timers.now()
-            self.sync.ask_now()
+            self.sync.sync_now()
 
     def _watch_gauges(self) -> None:
         watch = self.metrics.watch
@@ -245,7 +245,7 @@
         return share.hosts if share.joins else self.sync.entry_count
 
     def _true_time(self) -> float:
-        return self.sync.true_time
+        return self.sync.median_time
 
     def _in_flight_besides(self, rollout: Rollout) -> int:
         """Return the requests under way at a service's other versions."""
--- a/tests/relaying/test_coordination.py
+++ b/tests/relaying/test_coordination.py
@@ -182,7 +182,7 @@
         # What is allowed is shared by all, though not all have come back.
         assert world.controls["c0:1"].entries.count == 3
         await trio.sleep(2.0)
-        assert {host.sync.knows_restart for host in hosts} == {not stays}
+        assert {host.sync.has_seen_restart for host in hosts} == {not stays}
 
 
 async def test_lost_and_found_entry_hosts_are_logged(autojump_clock, monkeypatch):
--- a/tests/relaying/test_entry_host_catalog.py
+++ b/tests/relaying/test_entry_host_catalog.py
@@ -234,10 +234,10 @@
 async def test_reports_age_on_their_way(autojump_clock):
     """An entry host that another control host has lost isn't there for this one."""
     async with open_world(entries=1) as world:
-        desk = world.controls["c0:1"].desk
+        sync_server = world.controls["c0:1"].sync_server
         for number, age in ((7, 0.1), (8, 1.0)):
             message = report(number).to_message(age)
-            desk.absorb("c1:1", pb.SyncReply(entries=[message]), 0.2)
+            sync_server.merge_reply("c1:1", pb.SyncReply(entries=[message]), 0.2)
         addresses = world.controls["c0:1"].entry_addresses("z1")
         assert addresses == ["e0:1:callers", "e7:callers"]
 
