--- a/measure/ablation.py
+++ b/measure/ablation.py
@@ -74,7 +74,7 @@
     ),
     Ablation(
         "what is unused at the start is given back at once",
-        "src/pepperstep/coordination/ordering.py",
+        "src/pepperstep/coordination/autoscaler.py",
         "        state.is_unused = holder.is_first and not demand.peak\n",
         "        state.is_unused = False\n",
     ),
--- a/proofs/relay.py
+++ b/proofs/relay.py
@@ -17,7 +17,7 @@
 )
 _GROUP = "tests/relaying/test_group.py::"
 _LOST = "tests/relaying/test_lost_contact.py::"
-_ORDERING = "tests/relaying/test_ordering.py::"
+_ORDERING = "tests/relaying/test_autoscaler.py::"
 _PLACEMENT = "tests/relaying/test_placement.py::"
 _QUOTAS = "tests/relaying/test_quota_windows.py::"
 _PARTIAL = "tests/relaying/test_partial_views.py::"
@@ -393,7 +393,7 @@
     Mechanism(
         9,
         "a service without upstreams is ordered some",
-        "coordination/ordering.py",
+        "coordination/autoscaler.py",
         "if is_empty and now - self._started_at < _EMPTY_SECONDS:",
         "if is_empty:",
         (f"{_ORDERING}test_steady_ones_stay_until_reclaimable_ones_stand_again",),
@@ -547,7 +547,7 @@
     Mechanism(
         9,
         "a system that nobody has used gives back at once",
-        "coordination/ordering.py",
+        "coordination/autoscaler.py",
         "state.is_unused = holder.is_first and not demand.peak",
         "state.is_unused = False",
         (f"{_ORDERING}test_start_of_a_system_gives_back_at_once_what_nobody_asks_for",),
--- a/src/pepperstep/coordination/__init__.py
+++ b/src/pepperstep/coordination/__init__.py
@@ -1,10 +1,10 @@
 """What hosts know together: route tables, upstreams, entry hosts, usage."""
 
+from pepperstep.coordination.autoscaler import Autoscaler
 from pepperstep.coordination.directory import Directory
-from pepperstep.coordination.duty import Duty
 from pepperstep.coordination.entry_host_catalog import EntryHostCatalog
 from pepperstep.coordination.host_share import HostShare
-from pepperstep.coordination.ordering import Ordering
+from pepperstep.coordination.leader_lease import LeaderLease
 from pepperstep.coordination.records import (
     Announcement,
     EntryReport,
@@ -29,11 +29,11 @@
     "Announcement",
     "SyncServer",
     "Directory",
-    "Duty",
+    "LeaderLease",
     "EntryHostCatalog",
     "EntryReport",
     "HostShare",
-    "Ordering",
+    "Autoscaler",
     "ServiceWork",
     "StatedLimit",
     "SyncClient",
--- a/src/pepperstep/programs/control_host.py
+++ b/src/pepperstep/programs/control_host.py
@@ -8,9 +8,9 @@
     TABLE_MACHINE,
     USAGE_MACHINE,
     Announcement,
-    Duty,
+    Autoscaler,
     EntryHostCatalog,
-    Ordering,
+    LeaderLease,
     SyncClient,
     SyncServer,
     TableMachine,
@@ -145,7 +145,7 @@
         )
         self.sync.on_reply = self.sync_server.merge_reply
         self._silence = SilenceJudge(self.catalog, ports.timers.now, self._contact)
-        self._duty = Duty(
+        self._duty = LeaderLease(
             settings.host, self.agreement, ports.timers, settings.bounds.duty_lease
         )
         self._watch_gauges()
@@ -239,10 +239,10 @@
             lambda: self.sync.median_time,
         )
 
-    def _make_ordering(self, ports: RelayPorts) -> Ordering | None:
+    def _make_ordering(self, ports: RelayPorts) -> Autoscaler | None:
         if ports.orders is None:
             return None
-        return Ordering(
+        return Autoscaler(
             self._duty,
             ports.orders,
             self.tables,
--- a/tests/relaying/test_ordering.py
+++ b/tests/relaying/test_autoscaler.py
@@ -15,8 +15,8 @@
     TableStore,
     UpstreamCatalog,
 )
-from pepperstep.coordination.duty import Duty
-from pepperstep.coordination.ordering import Ordering
+from pepperstep.coordination.autoscaler import Autoscaler
+from pepperstep.coordination.leader_lease import LeaderLease
 from pepperstep.coordination.table_updates import Document
 from pepperstep.errors import Code, Failure
 from pepperstep.fakes import FakeTimers
@@ -132,8 +132,8 @@
         services = [{"name": "plain"}, {"name": "model", "autoscale": SCALING}]
         data = json.loads(document(1)) | {"services": services}
         tables.take(Document(1, json.dumps(data).encode()))
-        self.ordering = Ordering(
-            Duty("c0", self.agreement, self.timers, 3.0),
+        self.autoscaler = Autoscaler(
+            LeaderLease("c0", self.agreement, self.timers, 3.0),
             self.platform,
             tables,
             self.desk,
@@ -143,7 +143,7 @@
         )
         for zone in ZONES:
             self.platform.fill((zone, False), 3)
-        nursery.start_soon(self.ordering.run)
+        nursery.start_soon(self.autoscaler.run)
 
     def reclaim(self, zone: str) -> None:
         """Let the platform take a zone's reclaimable upstreams back."""
