--- a/proofs/relay.py
+++ b/proofs/relay.py
@@ -191,7 +191,7 @@
         5,
         "entry hosts have taken an upstream's leaving in",
         "coordination/departures.py",
-        "            await self._followers.wait(version)\n",
+        "            await self._entry_host_progress.wait(version)\n",
         "            pass\n",
         (
             f"{_DEPARTURES}test_leaving_is_acknowledged_once_all_entry_hosts_have_heard_of_it",
@@ -260,7 +260,7 @@
         9,
         "a control host judges silence only while it's in contact",
         "coordination/silence.py",
-        "if was_frozen or not self._contact.is_held():",
+        "if was_frozen or not self._contact.has_quorum():",
         "if was_frozen:",
         (f"{_SILENCE}test_host_without_contact_judges_nothing_nor_right_after",),
     ),
@@ -268,8 +268,8 @@
         9,
         "a host that was frozen judges no silence at first",
         "coordination/silence.py",
-        "if was_frozen or not self._contact.is_held():",
-        "if not self._contact.is_held():",
+        "if was_frozen or not self._contact.has_quorum():",
+        "if not self._contact.has_quorum():",
         (f"{_SILENCE}test_host_that_was_frozen_judges_nothing_right_after",),
     ),
     Mechanism(
--- a/src/pepperstep/coordination/departures.py
+++ b/src/pepperstep/coordination/departures.py
@@ -12,7 +12,7 @@
 import trio
 from absl import logging
 
-from pepperstep.coordination.followers import Followers
+from pepperstep.coordination.entry_host_progress import EntryHostProgress
 from pepperstep.coordination.records import Announcement
 from pepperstep.coordination.upstream_catalog import UpstreamCatalog
 from pepperstep.errors import Code, Failure
@@ -38,7 +38,7 @@
         peers: PeerNetwork,
         timers: Timers,
         catalog: UpstreamCatalog,
-        followers: Followers,
+        entry_host_progress: EntryHostProgress,
         control_hosts: Callable[[], list[str]],
         voters: Callable[[], list[str]],
         store: Callable[[], Awaitable[None]],
@@ -47,7 +47,7 @@
         self._peers = peers
         self._timers = timers
         self._catalog = catalog
-        self._followers = followers
+        self._entry_host_progress = entry_host_progress
         self._control_hosts = control_hosts
         self._voters = voters
         self._store = store
@@ -128,8 +128,8 @@
         except OSError as error:
             raise Failure(Code.NOT_READY, f"The disk fails: {error}") from error
         with self._timers.move_on_after(_SPREAD_SECONDS):
-            await self._followers.wait(version)
+            await self._entry_host_progress.wait(version)
             is_known = True
         if not is_known:
-            behind = ", ".join(self._followers.behind(version))
+            behind = ", ".join(self._entry_host_progress.behind(version))
             raise Failure(Code.NOT_READY, f"Entry hosts haven't taken it in: {behind}")
--- a/src/pepperstep/coordination/followers.py
+++ b/src/pepperstep/coordination/entry_host_progress.py
@@ -4,7 +4,7 @@
 
 from pepperstep.ports import Timers
 
-__all__ = ["Followers"]
+__all__ = ["EntryHostProgress"]
 
 # Time without a question after which an entry host isn't waited for, in seconds. One
 # that this host doesn't reach asks another one by then.
@@ -13,7 +13,7 @@
 _LOOK_SECONDS = 0.1
 
 
-class Followers:
+class EntryHostProgress:
     """The entry hosts by name, with the version of the book that each has."""
 
     def __init__(self, timers: Timers):
--- a/src/pepperstep/coordination/hints.py
+++ b/src/pepperstep/coordination/hints.py
@@ -80,7 +80,7 @@
         try:
             hints = pb.HintsFile.FromString(data)
             if hints.table_version:
-                self._tables.take(_document_of(hints))
+                self._tables.install(_document_of(hints))
         except (DecodeError, Failure) as error:
             logging.warning("hints: The file can't be used: %s", error)
             return
--- a/src/pepperstep/coordination/sync_server.py
+++ b/src/pepperstep/coordination/sync_server.py
@@ -8,7 +8,7 @@
 
 from pepperstep.coordination.departures import Departures
 from pepperstep.coordination.entry_host_catalog import EntryHostCatalog
-from pepperstep.coordination.followers import Followers
+from pepperstep.coordination.entry_host_progress import EntryHostProgress
 from pepperstep.coordination.records import (
     Announcement,
     EntryReport,
@@ -69,7 +69,7 @@
         control_hosts: Callable[[], list[str]],
         voters: Callable[[], list[str]],
         departures: Departures,
-        followers: Followers,
+        entry_host_progress: EntryHostProgress,
         epoch: int,
         is_in_contact: Callable[[], bool] = lambda: True,
         rollouts: RolloutSource | None = None,
@@ -82,7 +82,7 @@
         self._control_hosts = control_hosts
         self._voters = voters
         self._departures = departures
-        self._followers = followers
+        self._entry_host_progress = entry_host_progress
         self._epoch = epoch
         self._is_in_contact = is_in_contact
         self._entries = entries
@@ -183,7 +183,9 @@
     async def _on_sync(self, request: pb.SyncRequest, sender: str) -> pb.SyncReply:
         if request.HasField("entry"):
             is_known = request.registry_epoch == self._epoch
-            self._followers.record(sender, request.registry_version if is_known else 0)
+            self._entry_host_progress.record(
+                sender, request.registry_version if is_known else 0
+            )
             report = EntryReport.from_message(request.entry)
             self._entries.record(report, request.is_source)
         asked_at = self._timers.now()
--- a/src/pepperstep/programs/control_host.py
+++ b/src/pepperstep/programs/control_host.py
@@ -20,11 +20,11 @@
     UsageReporter,
     propose_table,
 )
-from pepperstep.coordination.contact import Contact
 from pepperstep.coordination.departures import Departures
-from pepperstep.coordination.followers import Followers
+from pepperstep.coordination.entry_host_progress import EntryHostProgress
 from pepperstep.coordination.hints import Hints
-from pepperstep.coordination.silence import SilenceJudge
+from pepperstep.coordination.quorum_monitor import QuorumMonitor
+from pepperstep.coordination.silence import SilenceDetector
 from pepperstep.coordination.table_updates import Document
 from pepperstep.errors import Code, Failure
 from pepperstep.observability.relay_metrics import RelayMetrics
@@ -73,7 +73,7 @@
             size=2 * control.tolerated_losses + 1,
         )
         self.tables = TableStore(ports.decode)
-        self.machine = TableMachine(self.tables.take)
+        self.machine = TableMachine(self.tables.install)
         self.metrics = RelayMetrics()
         self._usage = UsageMachine()
         self.agreement.register(TABLE_MACHINE, self.machine)
@@ -90,7 +90,7 @@
             self.tables,
             self.catalog,
         )
-        self._contact = Contact(
+        self._contact = QuorumMonitor(
             self._peer_name,
             self.agreement.voters,
             lambda: self.sync.reached,
@@ -117,13 +117,13 @@
             ports.timers,
             self.rollouts,
         )
-        followers = Followers(ports.timers)
+        entry_host_progress = EntryHostProgress(ports.timers)
         departures = Departures(
             self._peer_name,
             ports.peers,
             ports.timers,
             self.catalog,
-            followers,
+            entry_host_progress,
             self._control_hosts,
             self.agreement.voters,
             self._hints.store,
@@ -138,13 +138,13 @@
             self._control_hosts,
             self.agreement.voters,
             departures,
-            followers,
+            entry_host_progress,
             epoch=ports.rng.getrandbits(48),
-            is_in_contact=self._contact.is_held,
+            is_in_contact=self._contact.has_quorum,
             rollouts=self.rollouts,
         )
         self.sync.on_reply = self.sync_server.merge_reply
-        self._silence = SilenceJudge(self.catalog, ports.timers.now, self._contact)
+        self._silence = SilenceDetector(self.catalog, ports.timers.now, self._contact)
         self._duty = LeaderLease(
             settings.host, self.agreement, ports.timers, settings.bounds.duty_lease
         )
@@ -255,6 +255,6 @@
 
     async def _tidy(self) -> None:
         async for _ in self._timers.subscribe(_TIDY_SECONDS):
-            self._silence.look()
+            self._silence.check()
             self.catalog.forget_silent(_FORGET_SECONDS)
             self.entries.log_contact_changes()
--- a/src/pepperstep/programs/entry_host.py
+++ b/src/pepperstep/programs/entry_host.py
@@ -306,9 +306,9 @@
         self._backoff.forget(upstream)
 
     def _note_reply(self, control_host: str, reply: pb.SyncReply, age: float) -> None:
-        self._silence_votes.note_answer(control_host, reply)
+        self._silence_votes.record_reply(control_host, reply)
         if reply.is_in_contact:
-            self._share.note_told(self.sync.entry_count)
+            self._share.record_host_count(self.sync.entry_count)
         self._take_rollouts(reply)
 
     async def _tidy(self) -> None:
--- a/tests/relaying/test_autoscaler.py
+++ b/tests/relaying/test_autoscaler.py
@@ -131,7 +131,7 @@
         tables = TableStore(TableDecoder().decode_in_steps)
         services = [{"name": "plain"}, {"name": "model", "autoscale": SCALING}]
         data = json.loads(document(1)) | {"services": services}
-        tables.take(Document(1, json.dumps(data).encode()))
+        tables.install(Document(1, json.dumps(data).encode()))
         self.autoscaler = Autoscaler(
             LeaderLease("c0", self.agreement, self.timers, 3.0),
             self.platform,
--- a/tests/relaying/test_silence.py
+++ b/tests/relaying/test_silence.py
@@ -5,8 +5,8 @@
 from hypothesis import given, strategies as st
 
 from pepperstep.coordination import Announcement, UpstreamCatalog
-from pepperstep.coordination.contact import Contact
-from pepperstep.coordination.silence import SilenceJudge, SilenceVotes
+from pepperstep.coordination.quorum_monitor import QuorumMonitor
+from pepperstep.coordination.silence import SilenceDetector, SilenceVotes
 from pepperstep.proto import coordination_pb2 as pb
 from tests.relaying.world import open_world
 
@@ -54,17 +54,17 @@
         self.is_in_contact = True
         # Control hosts that answer, of three.
         self.reached = ["c1", "c2"]
-        contact = Contact(
+        quorum_monitor = QuorumMonitor(
             "c0", lambda: ["c0", "c1", "c2"], lambda: self.reached, self.clock.now
         )
-        self.judge = SilenceJudge(self.catalog, self.clock.now, contact)
+        self.judge = SilenceDetector(self.catalog, self.clock.now, quorum_monitor)
         self.catalog.record(announcement())
 
     def look_for(self, seconds: int) -> None:
         """Let time pass."""
         for _ in range(seconds):
             self.clock.time += 1.0
-            self.judge.look()
+            self.judge.check()
 
     @property
     def is_silent(self) -> bool:
@@ -195,23 +195,23 @@
 
 def test_one_control_host_that_hears_an_upstream_is_enough():
     voted = Voted()
-    voted.votes.note_answer("c0", answer(u1=False))
-    voted.votes.note_answer("c1", answer(u1=True))
+    voted.votes.record_reply("c0", answer(u1=False))
+    voted.votes.record_reply("c1", answer(u1=True))
     assert not voted.is_silent
-    voted.votes.note_answer("c0", answer(u1=True))
+    voted.votes.record_reply("c0", answer(u1=True))
     assert voted.is_silent
-    voted.votes.note_answer("c1", answer(u1=False))
+    voted.votes.record_reply("c1", answer(u1=False))
     assert not voted.is_silent
 
 
 def test_word_of_a_control_host_that_is_silent_itself_does_not_last():
     voted = Voted()
-    voted.votes.note_answer("c0", answer(u1=False))
+    voted.votes.record_reply("c0", answer(u1=False))
     voted.clock.time += 19.0
-    voted.votes.note_answer("c1", answer(u1=True))
+    voted.votes.record_reply("c1", answer(u1=True))
     assert not voted.is_silent
     voted.clock.time += 2.0
-    voted.votes.note_answer("c1", answer())
+    voted.votes.record_reply("c1", answer())
     assert voted.is_silent
 
 
@@ -219,18 +219,18 @@
     """Its answers tell only what has changed since its last one."""
     voted = Voted()
     for control_host in ("c0", "c1"):
-        voted.votes.note_answer(control_host, answer(u1=True))
+        voted.votes.record_reply(control_host, answer(u1=True))
     voted.clock.time += 25.0
-    voted.votes.note_answer("c1", answer())
-    voted.votes.note_answer("c0", answer())
+    voted.votes.record_reply("c1", answer())
+    voted.votes.record_reply("c0", answer())
     assert voted.is_silent
 
 
 def test_restarted_control_host_has_said_nothing_yet():
     voted = Voted()
-    voted.votes.note_answer("c0", answer(u1=True))
+    voted.votes.record_reply("c0", answer(u1=True))
     assert voted.is_silent
-    voted.votes.note_answer("c0", answer(epoch=2))
+    voted.votes.record_reply("c0", answer(epoch=2))
     assert not voted.is_silent
 
 
@@ -242,7 +242,7 @@
     voted = Voted()
     told: dict[str, bool] = {}
     for control_host, is_silent, epoch in answers:
-        voted.votes.note_answer(control_host, answer(epoch, u1=is_silent))
+        voted.votes.record_reply(control_host, answer(epoch, u1=is_silent))
         told[control_host] = is_silent
         assert voted.is_silent == all(told.values())
 
