--- a/measure/ablation.py
+++ b/measure/ablation.py
@@ -69,8 +69,8 @@
     Ablation(
         "steady upstreams by the mean",
         "src/pepperstep/coordination/scaling.py",
-        "    needed_long = max(math.ceil(demand.mean), _LEAST)\n",
-        "    needed_long = needed\n",
+        "    needed_on_average = max(math.ceil(demand.mean), _MIN_UPSTREAMS)\n",
+        "    needed_on_average = needed\n",
     ),
     Ablation(
         "what is unused at the start is given back at once",
@@ -81,14 +81,16 @@
     Ablation(
         "least of reclaimable upstreams",
         "src/pepperstep/coordination/scaling.py",
-        "_LEAST_SHARE = 0.5\n",
-        "_LEAST_SHARE = 0.0\n",
+        "_MIN_RECLAIMABLE_SHARE = 0.5\n",
+        "_MIN_RECLAIMABLE_SHARE = 0.0\n",
     ),
     Ablation(
         "steady upstreams ahead of the next loss",
         "src/pepperstep/coordination/scaling.py",
-        "_lacking_for_next_loss(needed_long, carried, are_losses_close)\n",
-        "needed_long - sum(carried)\n",
+        "_missing_after_next_loss(\n"
+        "            needed_on_average, expected_counts, are_losses_clustered\n"
+        "        )\n",
+        "needed_on_average - sum(expected_counts)\n",
     ),
     Ablation(
         "growth of a host's part of a quota",
--- a/proofs/relay.py
+++ b/proofs/relay.py
@@ -183,7 +183,7 @@
         5,
         "an upstream's end outlives a restart",
         "coordination/hints.py",
-        "return self._catalog.age(upstream.id) < _GONE_SECONDS",
+        "return self._catalog.age(upstream.id) < _KEEP_GONE_SECONDS",
         "return False",
         (f"{_DEPARTURES}test_late_announcement_brings_nothing_back_after_a_restart",),
     ),
@@ -191,7 +191,7 @@
         5,
         "entry hosts have taken an upstream's leaving in",
         "coordination/departures.py",
-        "            await self._entry_host_progress.wait(version)\n",
+        "            await self._entry_host_progress.wait_applied(version)\n",
         "            pass\n",
         (
             f"{_DEPARTURES}test_leaving_is_acknowledged_once_all_entry_hosts_have_heard_of_it",
@@ -201,8 +201,8 @@
         5,
         "entry hosts ask most voters",
         "coordination/sync_client.py",
-        "most_voters = len(self._voters) // 2 + 1",
-        "most_voters = 0",
+        "voter_majority = len(self._voters) // 2 + 1",
+        "voter_majority = 0",
         (f"{_ACKNOWLEDGED}[leaves-say_it_at_a_majority-12-5]",),
     ),
     Mechanism(
@@ -225,8 +225,8 @@
         6,
         "entry hosts' reports age on their way",
         "coordination/sync_server.py",
-        "EntryReport.from_message(message), age + message.age)",
-        "EntryReport.from_message(message), age)",
+        "EntryReport.from_message(message), age + message.age\n",
+        "EntryReport.from_message(message), age\n",
         ("tests/relaying/test_entry_host_catalog.py::test_reports_age_on_their_way",),
     ),
     Mechanism(
@@ -303,8 +303,8 @@
         9,
         "what a control host out of reach heard last isn't called silent soon",
         "coordination/silence.py",
-        "is_known = heard_by in answering",
-        "is_known = True",
+        "is_reachable = heard_by in reachable",
+        "is_reachable = True",
         (f"{_SILENT}test_hosts_that_are_not_asked_by_an_entry_host_are_not_forgotten",),
     ),
     Mechanism(
@@ -330,7 +330,7 @@
         9,
         "a control host without contact doesn't rule the directory",
         "coordination/sync_client.py",
-        "        if reply.is_in_contact or not any(in_contact):\n",
+        "        if reply.is_in_contact or not any(connected):\n",
         "        if True:\n",
         (f"{_PARTIAL}test_callers_are_told_of_all_entry_hosts",),
     ),
@@ -386,15 +386,17 @@
         9,
         "steady upstreams are ordered ahead of the next zone's loss",
         "coordination/scaling.py",
-        "_lacking_for_next_loss(needed_long, carried, are_losses_close)",
-        "needed_now - sum(carried)",
+        "_missing_after_next_loss(\n"
+        "            needed_on_average, expected_counts, are_losses_clustered\n"
+        "        )",
+        "needed_now - sum(expected_counts)",
         (f"{_ORDERING}test_two_zones_in_a_row_leave_enough",),
     ),
     Mechanism(
         9,
         "a service without upstreams is ordered some",
         "coordination/autoscaler.py",
-        "if is_empty and now - self._started_at < _EMPTY_SECONDS:",
+        "if is_empty and now - self._started_at < _EMPTY_DISCOVERY_SECONDS:",
         "if is_empty:",
         (f"{_ORDERING}test_steady_ones_stay_until_reclaimable_ones_stand_again",),
     ),
@@ -402,8 +404,8 @@
         7,
         "hosts that start ask often",
         "coordination/sync_client.py",
-        "if is_reached or self._timers.now() < eager_until:",
-        "if is_reached:",
+        "if is_reachable or self._timers.now() < startup_until:",
+        "if is_reachable:",
         (f"{_COORDINATION}test_entry_host_soon_finds_control_hosts_that_start_later",),
     ),
     Mechanism(
@@ -434,8 +436,8 @@
         8,
         "a lower number of hosts counts after a window",
         "coordination/host_share.py",
-        "while len(self._told) > 1 and self._told[0][0] < limit:",
-        "while len(self._told) > 1:",
+        "while len(self._host_counts) > 1 and self._host_counts[0][0] < limit:",
+        "while len(self._host_counts) > 1:",
         (f"{_HOST_SHARE}test_lower_number_counts_after_a_window_only",),
     ),
     Mechanism(
@@ -488,7 +490,7 @@
         8,
         "a host's own clock is one vote on the true time",
         "coordination/sync_client.py",
-        "return now + _middle(others, self._timers.wall() - now)",
+        "return now + _median(others, self._timers.wall() - now)",
         "return self._timers.wall()",
         (
             "tests/relaying/test_clock_steps.py::"
@@ -518,7 +520,7 @@
         7,
         "control hosts tell each other what changed only",
         "coordination/entry_host_catalog.py",
-        "if life.version > version",
+        "if state.version > version",
         "if True",
         ("tests/relaying/test_entry_host_catalog.py::test_only_what_changed_is_told",),
     ),
@@ -526,7 +528,7 @@
         7,
         "one control host tells the others of an entry host",
         "coordination/sync_client.py",
-        "return not in_contact or name == in_contact[0]",
+        "return not connected or name == connected[0]",
         "return True",
         (
             "tests/relaying/test_entry_host_catalog.py::"
@@ -537,8 +539,8 @@
         9,
         "steady upstreams follow the mean of the work",
         "coordination/scaling.py",
-        "needed_long = max(math.ceil(demand.mean), _LEAST)",
-        "needed_long = needed",
+        "needed_on_average = max(math.ceil(demand.mean), _MIN_UPSTREAMS)",
+        "needed_on_average = needed",
         (
             "tests/relaying/test_scaling.py::"
             "test_steady_ones_follow_the_mean_when_zones_are_lost",
--- a/src/pepperstep/coordination/autoscaler.py
+++ b/src/pepperstep/coordination/autoscaler.py
@@ -13,7 +13,7 @@
     Demand,
     ZoneCounts,
     plan_counts,
-    upstreams_for,
+    required_upstreams,
 )
 from pepperstep.coordination.tables import TableStore
 from pepperstep.coordination.upstream_catalog import UpstreamCatalog
@@ -28,13 +28,13 @@
 _POLL_SECONDS = 0.5
 # The demand is the highest mean of so long, in seconds: upstreams take 4 s to
 # start, and a burst that comes back shall find them.
-_DEMAND_SECONDS = 10.0
+_DEMAND_WINDOW_SECONDS = 10.0
 # Time after its start until a host plans, in seconds: until then it may not know
 # what stands.
-_LEARN_SECONDS = 1.5
+_DISCOVERY_SECONDS = 1.5
 # The same where no upstream is known: they announce themselves once in 1.2 s. After
 # it none is there, as when all zones were taken back.
-_EMPTY_SECONDS = 5.0
+_EMPTY_DISCOVERY_SECONDS = 5.0
 
 
 class Autoscaler:
@@ -72,22 +72,22 @@
         async for now in self._timers.subscribe(_POLL_SECONDS):
             holder = self._duty.holder()
             if holder is not None and holder.fence != self._fence:
-                self._begin(holder)
+                self._reset(holder)
             for service in self._tables.current.services.values():
                 if service.scaling is None:
                     continue
                 # Known to all control hosts, so that a new holder can act at once.
-                demand = self._note_demand(service.name, now)
+                demand = self._record_demand(service.name, now)
                 if holder is not None:
-                    await self._keep(service, service.scaling, demand, holder, now)
+                    await self._reconcile(service, service.scaling, demand, holder, now)
 
-    def _begin(self, holder: LeaseHolder) -> None:
+    def _reset(self, holder: LeaseHolder) -> None:
         """Start anew: what an earlier holder has ordered isn't known here."""
         self._fence = holder.fence
         self._states.clear()
         self._plans.clear()
 
-    async def _keep(
+    async def _reconcile(
         self,
         service: Service,
         bounds: ScalingBounds,
@@ -95,54 +95,56 @@
         holder: LeaseHolder,
         now: float,
     ) -> None:
-        if now - self._started_at < _LEARN_SECONDS:
+        if now - self._started_at < _DISCOVERY_SECONDS:
             return
-        standing = self._standing(service.name, bounds)
+        running = self._count_running(service.name, bounds)
         state = self._states.setdefault(service.name, OrderState(self._timers.now))
         state.is_unused = holder.is_first and not demand.peak
-        is_empty = not any(each.steady + each.reclaimable for each in standing.values())
-        if is_empty and now - self._started_at < _EMPTY_SECONDS:
+        is_empty = not any(each.steady + each.reclaimable for each in running.values())
+        if is_empty and now - self._started_at < _EMPTY_DISCOVERY_SECONDS:
             return
-        plan = self._plan(service, demand, bounds, standing)
-        await self._order(service.name, plan, standing, holder, True)
+        plan = self._plan(service, demand, bounds, running)
+        await self._order(service.name, plan, running, holder, True)
         # Steady ones make up for what was refused just now.
-        plan = self._plan(service, demand, bounds, standing)
-        await self._order(service.name, plan, standing, holder, False)
-        self._note_plan(service.name, plan, standing, demand)
+        plan = self._plan(service, demand, bounds, running)
+        await self._order(service.name, plan, running, holder, False)
+        self._log_plan(service.name, plan, running, demand)
 
     def _plan(
         self,
         service: Service,
         demand: Demand,
         bounds: ScalingBounds,
-        standing: dict[str, ZoneCounts],
+        running: dict[str, ZoneCounts],
     ) -> dict[str, ZoneCounts]:
         state = self._states[service.name]
-        coming = {
-            zone: state.coming(zone, True, counts.reclaimable)
-            for zone, counts in standing.items()
+        expected = {
+            zone: state.expected_count(zone, True, counts.reclaimable)
+            for zone, counts in running.items()
         }
-        zones = tuple(standing)
+        zones = tuple(running)
         return plan_counts(
             demand,
             bounds,
             zones,
-            state.dry_zones,
-            standing,
-            coming,
-            state.are_losses_close(bounds.boot_seconds),
+            state.exhausted_zones,
+            running,
+            expected,
+            state.are_losses_clustered(bounds.boot_seconds),
         )
 
-    def _note_demand(self, service: str, now: float) -> Demand:
-        present = upstreams_for(self._entries.work_of(service))
+    def _record_demand(self, service: str, now: float) -> Demand:
+        present = required_upstreams(self._entries.work_of(service))
         demands = self._demands.setdefault(service, deque())
         demands.append((now, present))
-        while demands[0][0] < now - _DEMAND_SECONDS:
+        while demands[0][0] < now - _DEMAND_WINDOW_SECONDS:
             demands.popleft()
         loads = [load for _, load in demands]
         return Demand(max(loads), present, sum(loads) / len(loads))
 
-    def _standing(self, service: str, bounds: ScalingBounds) -> dict[str, ZoneCounts]:
+    def _count_running(
+        self, service: str, bounds: ScalingBounds
+    ) -> dict[str, ZoneCounts]:
         """Return the upstreams that take work, by the zones that may have some."""
         present = self._zones()
         zones = tuple(bounds.zone_prices) or present
@@ -159,25 +161,25 @@
             if zone in present
         }
 
-    def _note_plan(
+    def _log_plan(
         self,
         service: str,
         plan: dict[str, ZoneCounts],
-        standing: dict[str, ZoneCounts],
+        running: dict[str, ZoneCounts],
         demand: Demand,
     ) -> None:
         if plan == self._plans.get(service):
             return
         self._plans[service] = plan
-        dry = self._states[service].dry_zones
+        exhausted_zones = self._states[service].exhausted_zones
         zones = [
             ZonePlan(
                 zone,
                 counts.steady,
                 counts.reclaimable,
-                standing[zone].steady,
-                standing[zone].reclaimable,
-                zone in dry,
+                running[zone].steady,
+                running[zone].reclaimable,
+                zone in exhausted_zones,
             )
             for zone, counts in plan.items()
         ]
@@ -190,7 +192,7 @@
         self,
         service: str,
         plan: dict[str, ZoneCounts],
-        standing: dict[str, ZoneCounts],
+        running: dict[str, ZoneCounts],
         holder: LeaseHolder,
         is_reclaimable: bool,
     ) -> None:
@@ -198,21 +200,23 @@
         state = self._states[service]
         for zone, counts in plan.items():
             planned = counts.of(is_reclaimable)
-            there = standing[zone].of(is_reclaimable)
-            order = state.next_order(service, zone, is_reclaimable, planned, there)
+            count_running = running[zone].of(is_reclaimable)
+            order = state.next_order(
+                service, zone, is_reclaimable, planned, count_running
+            )
             if order is not None:
                 await self._send(order, holder, state)
 
     async def _send(
         self, order: UpstreamOrder, holder: LeaseHolder, state: OrderState
     ) -> None:
-        state.note_sent(order)
+        state.record_sent(order)
         try:
             await self._orders.order(order, holder.name, holder.fence)
         except Failure as failure:
-            self._note_refusal(order, failure, state)
+            self._handle_refusal(order, failure, state)
             return
-        state.note_taken(order)
+        state.record_accepted(order)
         logging.info(
             "orders: %s in %s shall have %d %s upstreams, by fence %d.",
             order.service,
@@ -222,7 +226,7 @@
             holder.fence,
         )
 
-    def _note_refusal(
+    def _handle_refusal(
         self, order: UpstreamOrder, failure: Failure, state: OrderState
     ) -> None:
         logging.info(
@@ -234,4 +238,4 @@
             failure.text,
         )
         if failure.code is Code.OVERLOADED and order.is_reclaimable:
-            state.note_dry(order.zone)
+            state.mark_exhausted(order.zone)
--- a/src/pepperstep/coordination/departures.py
+++ b/src/pepperstep/coordination/departures.py
@@ -22,7 +22,7 @@
 __all__ = ["Departures"]
 
 # Time for all of this, in seconds: upstreams wait one second for their answer.
-_SPREAD_SECONDS = 0.85
+_REPLICATION_SECONDS = 0.85
 
 
 class Departures:
@@ -53,54 +53,54 @@
         self._store = store
         peers.handle(pb.UpstreamNotice, self._on_notice)
 
-    async def spread(self, upstream: Announcement) -> list[str]:
+    async def replicate(self, upstream: Announcement) -> list[str]:
         """Tell all control hosts, and return those that have taken it in.
 
         Return once most voters have; raise `Failure` with `NO_QUORUM` if they don't.
         """
-        known_by: list[str] = []
-        is_enough = trio.Event()
+        stored_by: list[str] = []
+        has_majority = trio.Event()
 
-        def note_known(name: str) -> None:
-            known_by.append(name)
-            if self._are_most(known_by):
-                is_enough.set()
+        def mark_stored(name: str) -> None:
+            stored_by.append(name)
+            if self._are_majority(stored_by):
+                has_majority.set()
 
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._take_in_here, note_known)
+            nursery.start_soon(self._store_locally, mark_stored)
             for other in self._control_hosts():
                 if other != self._name:
-                    nursery.start_soon(self._tell, other, upstream, note_known)
-            with self._timers.move_on_after(_SPREAD_SECONDS):
-                await is_enough.wait()
+                    nursery.start_soon(self._notify, other, upstream, mark_stored)
+            with self._timers.move_on_after(_REPLICATION_SECONDS):
+                await has_majority.wait()
             nursery.cancel_scope.cancel()
-        if not is_enough.is_set():
-            text = f"Only {len(known_by)} control hosts have taken it in."
+        if not has_majority.is_set():
+            text = f"Only {len(stored_by)} control hosts have taken it in."
             raise Failure(Code.NO_QUORUM, text)
-        return known_by
+        return stored_by
 
-    def _are_most(self, names: list[str]) -> bool:
+    def _are_majority(self, names: list[str]) -> bool:
         voters = set(self._voters())
         return 2 * len(voters.intersection(names)) > len(voters)
 
-    async def _take_in_here(self, note_known: Callable[[str], None]) -> None:
+    async def _store_locally(self, mark_stored: Callable[[str], None]) -> None:
         try:
-            await self._take_in()
+            await self._make_durable()
         except Failure as failure:
             logging.info("departures: Not taken in here: %s", failure.text)
         else:
-            note_known(self._name)
+            mark_stored(self._name)
 
-    async def _tell(
-        self, other: str, upstream: Announcement, note_known: Callable[[str], None]
+    async def _notify(
+        self, other: str, upstream: Announcement, mark_stored: Callable[[str], None]
     ) -> None:
         notice = pb.UpstreamNotice(upstream=upstream.to_message())
         try:
-            await self._peers.call(other, notice, _SPREAD_SECONDS)
+            await self._peers.call(other, notice, _REPLICATION_SECONDS)
         except Failure as failure:
             logging.info("departures: %s misses a notice: %s", other, failure.text)
         else:
-            note_known(other)
+            mark_stored(other)
 
     async def _on_notice(
         self, message: pb.UpstreamNotice, sender: str
@@ -112,24 +112,24 @@
             self._catalog.mark_gone(announcement.id, incarnation, sender)
         else:
             self._catalog.record(announcement, told_by=sender, heard_by=sender)
-        await self._take_in()
+        await self._make_durable()
         return pb.UpstreamNoticeReply()
 
-    async def _take_in(self) -> None:
+    async def _make_durable(self) -> None:
         """Return once what the book holds now can't be forgotten or missed.
 
         Raise `Failure` with `NOT_READY` if the disk fails, or an entry host doesn't
         take it in.
         """
         version = self._catalog.version
-        is_known = False
+        is_applied = False
         try:
             await self._store()
         except OSError as error:
             raise Failure(Code.NOT_READY, f"The disk fails: {error}") from error
-        with self._timers.move_on_after(_SPREAD_SECONDS):
-            await self._entry_host_progress.wait(version)
-            is_known = True
-        if not is_known:
-            behind = ", ".join(self._entry_host_progress.behind(version))
-            raise Failure(Code.NOT_READY, f"Entry hosts haven't taken it in: {behind}")
+        with self._timers.move_on_after(_REPLICATION_SECONDS):
+            await self._entry_host_progress.wait_applied(version)
+            is_applied = True
+        if not is_applied:
+            lagging = ", ".join(self._entry_host_progress.lagging(version))
+            raise Failure(Code.NOT_READY, f"Entry hosts haven't taken it in: {lagging}")
--- a/src/pepperstep/coordination/directory.py
+++ b/src/pepperstep/coordination/directory.py
@@ -21,11 +21,11 @@
 MAX_ADDRESSES = 64
 # Entry hosts of a caller's zone that are enough for it, and those of other zones that
 # are named besides.
-_MANY_OWN = 16
-_FEW_OTHERS = 4
+_ENOUGH_IN_ZONE = 16
+_MAX_OTHERS = 4
 # Entry hosts that keep the others' work. All connect to each of them, and a connection
 # has two threads at both ends.
-_KEEPERS = 16
+_MAX_KEEPERS = 16
 
 
 @dataclass(frozen=True, order=True, slots=True)
@@ -54,13 +54,13 @@
         that it's cut off, and each zone other ones.
         """
         entries = [DirectoryEntry(each.caller_address, each.zone) for each in reports]
-        own = sorted(entry for entry in entries if entry.zone == zone)
+        in_zone = sorted(entry for entry in entries if entry.zone == zone)
         others = [entry for entry in entries if entry.zone != zone]
         others.sort(key=lambda entry: _hash(f"{zone}/{entry.address}"))
-        if len(own) >= _MANY_OWN:
-            others = others[:_FEW_OTHERS]
-            own = own[: MAX_ADDRESSES - len(others)]
-        named = own + others
+        if len(in_zone) >= _ENOUGH_IN_ZONE:
+            others = others[:_MAX_OTHERS]
+            in_zone = in_zone[: MAX_ADDRESSES - len(others)]
+        named = in_zone + others
         return cls(tuple(named[:MAX_ADDRESSES]), _choose_keepers(reports))
 
     @classmethod
@@ -94,7 +94,7 @@
 def _choose_keepers(reports: Collection[EntryReport]) -> tuple[str, ...]:
     """Return the hosts with the lowest hashes of their names."""
     names = (report.host for report in reports)
-    return tuple(sorted(names, key=_hash)[:_KEEPERS])
+    return tuple(sorted(names, key=_hash)[:_MAX_KEEPERS])
 
 
 def _hash(text: str) -> int:
--- a/src/pepperstep/coordination/entry_host_catalog.py
+++ b/src/pepperstep/coordination/entry_host_catalog.py
@@ -18,27 +18,27 @@
 _SILENCE_SECONDS = 1.1
 # Time after which a silent entry host isn't counted among those that share
 # quotas and budgets, in seconds: longer than any of their windows.
-_SHARE_SECONDS = 15.0
+_QUOTA_SHARE_SECONDS = 15.0
 # Time after a start for which as many entry hosts are counted as were known
 # before it, in seconds: they come back within it, and longer than a window of
 # quotas makes the few that don't unimportant.
-_EXPECT_SECONDS = 10.0
+_EXPECTED_COUNT_SECONDS = 10.0
 # Time after a start in which it's found out that all hosts have started anew, and
 # by how much entry hosts may have started sooner, in seconds. Entry hosts start
 # half a second sooner than control hosts.
 _RESTART_SECONDS = 3.0
 _RESTART_SLACK_SECONDS = 1.0
 # Time after which its counts are dropped, in seconds: usage is due before.
-_FORGET_SECONDS = 60.0
+_EVICTION_SECONDS = 60.0
 # Windows of the accounting that are kept for each entry host.
 _KEPT_WINDOWS = 12
 # Time between looks which entry hosts have gone silent, in seconds. One that says
 # itself that it's ready or not counts at once.
-_LOOK_SECONDS = 0.1
+_SNAPSHOT_SECONDS = 0.1
 
 
 @dataclass(slots=True)
-class _Life:
+class _Incarnation:
     """One life of an entry host, as this host knows it."""
 
     report: EntryReport
@@ -47,26 +47,28 @@
     # Monotonic time of its start.
     started_at: float
     # Whether this host tells other control hosts of it.
-    is_told: bool = False
+    is_published: bool = False
     # Version of the book at the latest report to be told, 0 if there was none.
     version: int = 0
     # The same for each workspace's cost and each window that such a report held.
     admitted_versions: dict[str, int] = field(default_factory=dict)
     window_versions: dict[int, int] = field(default_factory=dict)
 
-    def note_told(self, report: EntryReport, version: int) -> None:
+    def mark_published(self, report: EntryReport, version: int) -> None:
         """Take in a report that other control hosts get as the book's `version`.
 
         The first one brings all that is known: they may not have it.
         """
-        if not self.is_told:
+        if not self.is_published:
             report = self.report
-        self.is_told = True
+        self.is_published = True
         self.version = version
         self.admitted_versions |= dict.fromkeys(report.admitted, version)
-        told = self.window_versions | dict.fromkeys(report.windows, version)
+        published = self.window_versions | dict.fromkeys(report.windows, version)
         kept = self.report.windows
-        self.window_versions = {number: told[number] for number in told.keys() & kept}
+        self.window_versions = {
+            number: published[number] for number in published.keys() & kept
+        }
 
     def changed_since(self, version: int) -> EntryReport:
         """Return the newest report with the counts told after `version` only."""
@@ -75,19 +77,19 @@
             report,
             admitted={
                 name: report.admitted[name]
-                for name, told in self.admitted_versions.items()
-                if told > version
+                for name, published in self.admitted_versions.items()
+                if published > version
             },
             windows={
                 number: report.windows[number]
-                for number, told in self.window_versions.items()
-                if told > version
+                for number, published in self.window_versions.items()
+                if published > version
             },
         )
 
 
 @dataclass(frozen=True, slots=True)
-class _Look:
+class _Snapshot:
     """Which entry hosts are there, as of one time."""
 
     at: float
@@ -111,22 +113,22 @@
     def __init__(self, now: Callable[[], float]):
         self._now = now
         # Lives by host, the latest start last: counts of an ended life stay.
-        self._lives: dict[str, list[_Life]] = {}
+        self._incarnations: dict[str, list[_Incarnation]] = {}
         # Cost that all lives have admitted, by workspace.
         self._admitted: dict[str, int] = {}
         # Entry hosts that were in contact when that was last looked at.
-        self._in_contact: set[str] = set()
+        self._connected: set[str] = set()
         # Entry hosts that were known before this host's start.
         self._expected = 0
         self._started_at = now()
-        self._look: _Look | None = None
+        self._snapshot: _Snapshot | None = None
         self.version = 0
 
     @property
     def count(self) -> int:
         """Number of entry hosts that share what is allowed."""
-        heard = self._look_around().count
-        if self._now() - self._started_at < _EXPECT_SECONDS:
+        heard = self._current_snapshot().count
+        if self._now() - self._started_at < _EXPECTED_COUNT_SECONDS:
             return max(heard, self._expected)
         return heard
 
@@ -138,26 +140,28 @@
         """
         if self._now() - self._started_at > _RESTART_SECONDS:
             return False
-        if not self._expected or len(self._lives) < self._expected:
+        if not self._expected or len(self._incarnations) < self._expected:
             return False
         earliest = self._started_at - _RESTART_SLACK_SECONDS
-        return all(life.started_at >= earliest for life in self._newest())
+        return all(
+            state.started_at >= earliest for state in self._latest_incarnations()
+        )
 
     def record_relayed(self, report: EntryReport, age: float = 0.0) -> None:
         """Take in a report that another control host got `age` seconds ago."""
-        self._note(report, age)
+        self._merge_report(report, age)
 
-    def record(self, report: EntryReport, is_source: bool) -> None:
+    def record(self, report: EntryReport, is_publisher: bool) -> None:
         """Take in a report that has just come from the entry host itself.
 
-        `is_source` says whether this host tells the other control hosts.
+        `is_publisher` says whether this host tells the other control hosts.
         """
-        life = self._note(report, 0.0)
-        if not is_source:
-            life.is_told = False
+        state = self._merge_report(report, 0.0)
+        if not is_publisher:
+            state.is_published = False
             return
         self.version += 1
-        life.note_told(report, self.version)
+        state.mark_published(report, self.version)
 
     def expect(self, count: int) -> None:
         """Count at least so many entry hosts in the next seconds."""
@@ -165,24 +169,24 @@
 
     def ready(self) -> list[EntryReport]:
         """Return the newest reports of entry hosts that callers may use."""
-        return self._look_around().ready
+        return self._current_snapshot().ready
 
     def directory(self, zone: str) -> Directory:
         """Return where callers of an availability zone connect."""
-        look = self._look_around()
-        known_zone = zone if zone in look.zones else ""
-        directory = look.directories.get(known_zone)
+        snapshot = self._current_snapshot()
+        known_zone = zone if zone in snapshot.zones else ""
+        directory = snapshot.directories.get(known_zone)
         if directory is None:
-            directory = Directory.from_reports(look.ready, known_zone)
-            look.directories[known_zone] = directory
+            directory = Directory.from_reports(snapshot.ready, known_zone)
+            snapshot.directories[known_zone] = directory
         return directory
 
     def log_contact_changes(self) -> None:
         """Log the entry hosts that were lost or found since the last call."""
         limit = self._now() - _SILENCE_SECONDS
-        newest = {life.report.host: life for life in self._newest()}
-        now = {name for name, life in newest.items() if life.heard_at >= limit}
-        for name in sorted(now ^ self._in_contact):
+        newest = {state.report.host: state for state in self._latest_incarnations()}
+        now = {name for name, state in newest.items() if state.heard_at >= limit}
+        for name in sorted(now ^ self._connected):
             if name not in newest:
                 continue
             report = newest[name].report
@@ -190,127 +194,134 @@
                 name, report.incarnation, report.zone, name in now, len(now)
             )
             logging.info("entries: %s", event)
-        self._in_contact = now
+        self._connected = now
 
     def counts_of(self, window: int) -> dict[str, int]:
         """Return the requests that began to run in a window, by workspace."""
         totals: dict[str, int] = {}
-        for life in self._all():
-            for name, count in life.report.windows.get(window, {}).items():
+        for state in self._all_incarnations():
+            for name, count in state.report.windows.get(window, {}).items():
                 totals[name] = totals.get(name, 0) + count
         return totals
 
-    def lives_counting(self, window: int) -> int:
+    def count_reporting_incarnations(self, window: int) -> int:
         """Return how many lives of entry hosts have counted requests in a window."""
-        return sum(window in life.report.windows for life in self._all())
+        return sum(window in state.report.windows for state in self._all_incarnations())
 
     def work_of(self, service: str) -> ServiceWork:
         """Return the work that all entry hosts give a service's upstreams."""
         limit = self._now() - _SILENCE_SECONDS
-        works = [
-            life.report.works.get(service, ServiceWork())
-            for life in self._newest()
-            if life.heard_at >= limit
+        service_works = [
+            state.report.service_works.get(service, ServiceWork())
+            for state in self._latest_incarnations()
+            if state.heard_at >= limit
         ]
         return ServiceWork(
-            sum(work.in_flight for work in works), sum(work.reading for work in works)
+            sum(work.in_flight for work in service_works),
+            sum(work.reading for work in service_works),
         )
 
     def messages_since(self, version: int) -> list[pb.EntryState]:
         """Return what entry hosts have told this host after a version of the book."""
-        self._forget_silent()
+        self._evict_silent()
         now = self._now()
         return [
-            life.changed_since(version).to_message(now - life.heard_at)
-            for life in self._all()
-            if life.version > version
+            state.changed_since(version).to_message(now - state.heard_at)
+            for state in self._all_incarnations()
+            if state.version > version
         ]
 
     def admitted_elsewhere(self, host: str) -> dict[str, int]:
         """Return the cost that all but one entry host have admitted, by workspace."""
         totals = dict(self._admitted)
-        for life in self._lives.get(host, ()):
-            for workspace, count in life.report.admitted.items():
+        for state in self._incarnations.get(host, ()):
+            for workspace, count in state.report.admitted.items():
                 totals[workspace] -= count
         return totals
 
-    def _note(self, report: EntryReport, age: float) -> _Life:
+    def _merge_report(self, report: EntryReport, age: float) -> _Incarnation:
         heard_at = self._now() - age
-        life = self._find(report)
-        if life is None:
-            life = self._add(report, heard_at)
+        state = self._find(report)
+        if state is None:
+            state = self._add(report, heard_at)
             before = {}
         else:
-            before = life.report.admitted
-            is_newer = heard_at >= life.heard_at
-            if is_newer and report.is_ready != life.report.is_ready:
-                self._look = None
-            life.report = _merge(life.report, report, is_newer)
-            life.heard_at = max(life.heard_at, heard_at)
+            before = state.report.admitted
+            is_newer = heard_at >= state.heard_at
+            if is_newer and report.is_ready != state.report.is_ready:
+                self._snapshot = None
+            state.report = _merge(state.report, report, is_newer)
+            state.heard_at = max(state.heard_at, heard_at)
         for workspace in report.admitted:
-            grown = life.report.admitted[workspace] - before.get(workspace, 0)
-            self._admitted[workspace] = self._admitted.get(workspace, 0) + grown
-        return life
-
-    def _find(self, report: EntryReport) -> _Life | None:
-        for life in self._lives.get(report.host, ()):
-            if life.report.incarnation == report.incarnation:
-                return life
+            increase = state.report.admitted[workspace] - before.get(workspace, 0)
+            self._admitted[workspace] = self._admitted.get(workspace, 0) + increase
+        return state
+
+    def _find(self, report: EntryReport) -> _Incarnation | None:
+        for state in self._incarnations.get(report.host, ()):
+            if state.report.incarnation == report.incarnation:
+                return state
         return None
 
-    def _add(self, report: EntryReport, heard_at: float) -> _Life:
+    def _add(self, report: EntryReport, heard_at: float) -> _Incarnation:
         # Lives are told apart by this host's clock: theirs may have jumped between.
-        life = _Life(report, heard_at, heard_at - report.uptime)
-        lives = self._lives.setdefault(report.host, [])
-        lives.append(life)
-        lives.sort(key=lambda each: each.started_at)
-        self._look = None
-        return life
-
-    def _newest(self) -> list[_Life]:
+        state = _Incarnation(report, heard_at, heard_at - report.uptime)
+        incarnations = self._incarnations.setdefault(report.host, [])
+        incarnations.append(state)
+        incarnations.sort(key=lambda each: each.started_at)
+        self._snapshot = None
+        return state
+
+    def _latest_incarnations(self) -> list[_Incarnation]:
         """Return each entry host's latest life."""
-        return [lives[-1] for lives in self._lives.values()]
+        return [incarnations[-1] for incarnations in self._incarnations.values()]
 
-    def _all(self) -> list[_Life]:
-        return [life for lives in self._lives.values() for life in lives]
+    def _all_incarnations(self) -> list[_Incarnation]:
+        return [
+            state
+            for incarnations in self._incarnations.values()
+            for state in incarnations
+        ]
 
-    def _look_around(self) -> _Look:
+    def _current_snapshot(self) -> _Snapshot:
         now = self._now()
-        if self._look is None or now - self._look.at >= _LOOK_SECONDS:
-            self._look = self._make_look(now)
-        return self._look
+        if self._snapshot is None or now - self._snapshot.at >= _SNAPSHOT_SECONDS:
+            self._snapshot = self._take_snapshot(now)
+        return self._snapshot
 
-    def _make_look(self, now: float) -> _Look:
-        newest = self._newest()
-        heard = sum(life.heard_at >= now - _SHARE_SECONDS for life in newest)
+    def _take_snapshot(self, now: float) -> _Snapshot:
+        newest = self._latest_incarnations()
+        heard = sum(state.heard_at >= now - _QUOTA_SHARE_SECONDS for state in newest)
         ready = [
-            life.report
-            for life in newest
-            if life.heard_at >= now - _SILENCE_SECONDS and life.report.is_ready
+            state.report
+            for state in newest
+            if state.heard_at >= now - _SILENCE_SECONDS and state.report.is_ready
         ]
         directories = {}
-        if self._look is not None and _name_the_same(self._look.ready, ready):
-            directories = self._look.directories
+        if self._snapshot is not None and _have_same_incarnations(
+            self._snapshot.ready, ready
+        ):
+            directories = self._snapshot.directories
         zones = frozenset(report.zone for report in ready)
-        return _Look(now, heard, ready, zones, directories)
+        return _Snapshot(now, heard, ready, zones, directories)
 
-    def _forget_silent(self) -> None:
-        limit = self._now() - _FORGET_SECONDS
-        for life in self._all():
-            if life.heard_at < limit:
-                self._forget(life)
+    def _evict_silent(self) -> None:
+        limit = self._now() - _EVICTION_SECONDS
+        for state in self._all_incarnations():
+            if state.heard_at < limit:
+                self._evict(state)
 
-    def _forget(self, life: _Life) -> None:
-        for workspace, count in life.report.admitted.items():
+    def _evict(self, state: _Incarnation) -> None:
+        for workspace, count in state.report.admitted.items():
             self._admitted[workspace] -= count
-        lives = self._lives[life.report.host]
-        lives.remove(life)
-        if not lives:
-            del self._lives[life.report.host]
-        self._look = None
+        incarnations = self._incarnations[state.report.host]
+        incarnations.remove(state)
+        if not incarnations:
+            del self._incarnations[state.report.host]
+        self._snapshot = None
 
 
-def _name_the_same(one: list[EntryReport], other: list[EntryReport]) -> bool:
+def _have_same_incarnations(one: list[EntryReport], other: list[EntryReport]) -> bool:
     """Whether two lists have the same lives of entry hosts."""
     return [(each.host, each.incarnation) for each in one] == [
         (each.host, each.incarnation) for each in other
--- a/src/pepperstep/coordination/entry_host_progress.py
+++ b/src/pepperstep/coordination/entry_host_progress.py
@@ -10,7 +10,7 @@
 # that this host doesn't reach asks another one by then.
 _SILENCE_SECONDS = 1.5
 # Between looks whether one has gone silent, in seconds.
-_LOOK_SECONDS = 0.1
+_POLL_SECONDS = 0.1
 
 
 class EntryHostProgress:
@@ -19,28 +19,30 @@
     def __init__(self, timers: Timers):
         self._timers = timers
         # Versions, and monotonic times of the latest question.
-        self._known: dict[str, tuple[int, float]] = {}
+        self._progress: dict[str, tuple[int, float]] = {}
         self._changed = trio.Event()
 
     def record(self, host: str, version: int) -> None:
         """Take in that a host asks for what is newer than a version, 0 for all."""
-        self._known[host] = version, self._timers.now()
+        self._progress[host] = version, self._timers.now()
         self._changed.set()
         self._changed = trio.Event()
 
-    def behind(self, version: int) -> list[str]:
+    def lagging(self, version: int) -> list[str]:
         """Return the hosts that ask, and haven't taken in a version yet."""
-        self._forget_silent()
-        return [name for name, (known, _) in self._known.items() if known < version]
+        self._evict_silent()
+        return [
+            name for name, (applied, _) in self._progress.items() if applied < version
+        ]
 
-    async def wait(self, version: int) -> None:
+    async def wait_applied(self, version: int) -> None:
         """Return once all hosts that ask have taken in a version."""
-        while self.behind(version):
-            with self._timers.move_on_after(_LOOK_SECONDS):
+        while self.lagging(version):
+            with self._timers.move_on_after(_POLL_SECONDS):
                 await self._changed.wait()
 
-    def _forget_silent(self) -> None:
+    def _evict_silent(self) -> None:
         limit = self._timers.now() - _SILENCE_SECONDS
-        for name, (_, asked_at) in list(self._known.items()):
+        for name, (_, asked_at) in list(self._progress.items()):
             if asked_at < limit:
-                del self._known[name]
+                del self._progress[name]
--- a/src/pepperstep/coordination/hints.py
+++ b/src/pepperstep/coordination/hints.py
@@ -28,10 +28,10 @@
 
 _FILE = "hints"
 # Between two writes, in seconds: each costs three syncs.
-_WRITE_SECONDS = 0.5
+_WRITE_INTERVAL_SECONDS = 0.5
 # Time for which upstreams that are gone are kept, in seconds: announcements of theirs
 # that are on their way come later by seconds.
-_GONE_SECONDS = 60.0
+_KEEP_GONE_SECONDS = 60.0
 
 
 class RolloutHints(Protocol):
@@ -66,7 +66,7 @@
         self._entries = entries
         self._timers = timers
         self._rollouts = rollouts
-        self._written = (0, 0, 0, 0)
+        self._written_versions = (0, 0, 0, 0)
         self._lock = trio.Lock()
         # The document with its compressed bytes; upstreams change more often.
         self._document = Document()
@@ -80,7 +80,7 @@
         try:
             hints = pb.HintsFile.FromString(data)
             if hints.table_version:
-                self._tables.install(_document_of(hints))
+                self._tables.install(_decode_document(hints))
         except (DecodeError, Failure) as error:
             logging.warning("hints: The file can't be used: %s", error)
             return
@@ -97,7 +97,7 @@
 
     async def run(self) -> None:
         """Write what changed until cancelled."""
-        async for _ in self._timers.subscribe(_WRITE_SECONDS):
+        async for _ in self._timers.subscribe(_WRITE_INTERVAL_SECONDS):
             try:
                 await self.store()
             except OSError as error:
@@ -112,33 +112,35 @@
                 self._entries.count,
                 self._rollouts.index,
             )
-            if state != self._written:
+            if state != self._written_versions:
                 await self._storage.replace(_FILE, self._encode())
-                self._written = state
+                self._written_versions = state
 
     def _encode(self) -> bytes:
         hints = pb.HintsFile(
             table_version=self._tables.current.version,
-            table=self._compressed(),
+            table=self._compressed_table(),
             upstreams=[
-                each.to_message() for each in self._catalog.all() if self._is_kept(each)
+                each.to_message()
+                for each in self._catalog.all()
+                if self._is_stored(each)
             ],
             entry_count=self._entries.count,
             rollouts=self._rollouts.messages(),
         )
         return hints.SerializeToString()
 
-    def _is_kept(self, upstream: Announcement) -> bool:
+    def _is_stored(self, upstream: Announcement) -> bool:
         if upstream.is_gone:
-            return self._catalog.age(upstream.id) < _GONE_SECONDS
+            return self._catalog.age(upstream.id) < _KEEP_GONE_SECONDS
         return upstream.key not in self._catalog.silent
 
-    def _compressed(self) -> bytes:
+    def _compressed_table(self) -> bytes:
         if self._document is not self._tables.document:
             self._document = self._tables.document
             self._table = compress(self._document.data)
         return self._table
 
 
-def _document_of(hints: pb.HintsFile) -> Document:
+def _decode_document(hints: pb.HintsFile) -> Document:
     return Document(hints.table_version, decompress(hints.table))
--- a/src/pepperstep/coordination/host_share.py
+++ b/src/pepperstep/coordination/host_share.py
@@ -15,7 +15,7 @@
 # questions.
 CONTACT_SECONDS = 1.2
 # Time without word during which a host is surely counted on, in seconds.
-_COUNTED_SECONDS = 5.0
+_REJOIN_SECONDS = 5.0
 
 
 class HostShare:
@@ -29,8 +29,8 @@
         self._window = window
         self._now = now
         # Times and numbers told, each lower than the one before.
-        self._told: deque[tuple[float, int]] = deque()
-        self._told_at = float("-inf")
+        self._host_counts: deque[tuple[float, int]] = deque()
+        self._updated_at = float("-inf")
         # Seconds of the whole that the part was worth since this host is counted.
         self.credit = 0.0
         # How often this host has begun to be counted; the credit begins anew then.
@@ -40,14 +40,14 @@
     def hosts(self) -> int:
         """Most hosts that were told of within the window, 1 before any were."""
         limit = self._now() - self._window
-        while len(self._told) > 1 and self._told[0][0] < limit:
-            self._told.popleft()
-        return self._told[0][1] if self._told else 1
+        while len(self._host_counts) > 1 and self._host_counts[0][0] < limit:
+            self._host_counts.popleft()
+        return self._host_counts[0][1] if self._host_counts else 1
 
     @property
     def part(self) -> float:
         """Part of the whole that this host may use now, 0 for none."""
-        if self._now() - self._told_at > CONTACT_SECONDS:
+        if self._now() - self._updated_at > CONTACT_SECONDS:
             return 0.0
         return 1 / self.hosts
 
@@ -57,13 +57,13 @@
         Only one that's in contact with most others counts all.
         """
         now = self._now()
-        while self._told and self._told[-1][1] <= hosts:
-            self._told.pop()
-        self._told.append((now, hosts))
-        passed = now - self._told_at
-        self._told_at = now
-        if passed > _COUNTED_SECONDS:
+        while self._host_counts and self._host_counts[-1][1] <= hosts:
+            self._host_counts.pop()
+        self._host_counts.append((now, hosts))
+        elapsed = now - self._updated_at
+        self._updated_at = now
+        if elapsed > _REJOIN_SECONDS:
             self.joins += 1
             self.credit = 0.0
             return
-        self.credit += min(passed, CONTACT_SECONDS) / self.hosts
+        self.credit += min(elapsed, CONTACT_SECONDS) / self.hosts
--- a/src/pepperstep/coordination/leader_lease.py
+++ b/src/pepperstep/coordination/leader_lease.py
@@ -19,7 +19,7 @@
 # for the leader for up to 0.8 s after the election of the next. If it comes back
 # after that one has acted, two such waits lie between its own acts: with a lease
 # of 3 s, at least 3.2 s.
-_WAIT_SHARE = 2 / 3
+_WAIT_LEASE_SHARE = 2 / 3
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,9 +44,9 @@
         self._timers = timers
         self._lease = lease
         self._term = 0
-        self._since = 0.0
+        self._term_began_at = 0.0
         # Term that was logged.
-        self._told = 0
+        self._logged_term = 0
 
     def holder(self) -> LeaseHolder | None:
         """Return this host if it may act now, None otherwise."""
@@ -56,11 +56,14 @@
         term = self._agreement.term
         if term != self._term:
             self._term = term
-            self._since = now
+            self._term_began_at = now
         holder = LeaseHolder(self._name, term)
-        if not holder.is_first and now - self._since < _WAIT_SHARE * self._lease:
+        if (
+            not holder.is_first
+            and now - self._term_began_at < _WAIT_LEASE_SHARE * self._lease
+        ):
             return None
-        if self._told != term:
-            self._told = term
+        if self._logged_term != term:
+            self._logged_term = term
             logging.info("duty: %s", DutyTaken(self._name, term))
         return holder
--- a/src/pepperstep/coordination/quorum_monitor.py
+++ b/src/pepperstep/coordination/quorum_monitor.py
@@ -8,7 +8,7 @@
 
 # Time after a start for which what needs the other control hosts waits for them, in
 # seconds: after a loss of power they come back within two seconds of each other.
-_FORMING_SECONDS = 5.0
+_FORMATION_SECONDS = 5.0
 
 
 class QuorumMonitor:
@@ -26,7 +26,7 @@
     ):
         self._name = name
         self._voters = voters
-        self._reached = reached
+        self._reached_hosts = reached
         self._now = now
         self._started_at = now()
 
@@ -37,7 +37,7 @@
 
     def reachable(self) -> set[str]:
         """Return the control hosts that have answered lately, this one included."""
-        return {self._name, *self._reached()}
+        return {self._name, *self._reached_hosts()}
 
     def check(self) -> None:
         """Raise `Failure` with `NO_QUORUM` where most voters are out of reach.
@@ -46,6 +46,6 @@
         come cost operators 0.9 s a try, and two tries in three while one of three
         control hosts was cut off. Hosts that have just started may come together yet.
         """
-        if self._now() - self._started_at < _FORMING_SECONDS or self.has_quorum():
+        if self._now() - self._started_at < _FORMATION_SECONDS or self.has_quorum():
             return
         raise Failure(Code.NO_QUORUM, "Most control hosts are out of reach.")
--- a/src/pepperstep/coordination/silence.py
+++ b/src/pepperstep/coordination/silence.py
@@ -21,13 +21,13 @@
 _SILENCE_SECONDS = 20.0
 # The same for an upstream whose latest announcement came to a control host that's out
 # of reach, and may hear of it still, in seconds: regions lose each other for minutes.
-_MISSED_SECONDS = 300.0
+_UNREACHABLE_SILENCE_SECONDS = 300.0
 # Time between two looks after which a host takes itself for frozen meanwhile, in
 # seconds: it looks once a second, and a busy one is late by less than one.
-_FROZEN_SECONDS = 3.0
+_MAX_CHECK_GAP_SECONDS = 3.0
 # By whose word an upstream is silent, for the log.
-_JUDGE = "silence"
-_VOTES = "control hosts"
+_SOURCE_DETECTOR = "silence"
+_SOURCE_VOTES = "control hosts"
 
 
 class SilenceDetector:
@@ -50,26 +50,28 @@
         self._now = now
         self._contact = quorum_monitor
         # Monotonic time since which this host hears most others.
-        self._in_contact_since = now()
-        self._looked_at = now()
+        self._quorum_since = now()
+        self._checked_at = now()
 
     def check(self) -> None:
         """Let the upstreams count as silent that have been so for too long."""
         now = self._now()
-        was_frozen = now - self._looked_at > _FROZEN_SECONDS
-        self._looked_at = now
+        was_frozen = now - self._checked_at > _MAX_CHECK_GAP_SECONDS
+        self._checked_at = now
         if was_frozen or not self._contact.has_quorum():
-            self._in_contact_since = now
+            self._quorum_since = now
             return
-        if now - self._in_contact_since < _SILENCE_SECONDS:
+        if now - self._quorum_since < _SILENCE_SECONDS:
             return
         reachable = self._contact.reachable()
 
         def limit(heard_by: str) -> float:
-            is_known = heard_by in reachable
-            return now - (_SILENCE_SECONDS if is_known else _MISSED_SECONDS)
+            is_reachable = heard_by in reachable
+            return now - (
+                _SILENCE_SECONDS if is_reachable else _UNREACHABLE_SILENCE_SECONDS
+            )
 
-        self._catalog.set_silent(self._catalog.unheard_since(limit), _JUDGE)
+        self._catalog.set_silent(self._catalog.unheard_since(limit), _SOURCE_DETECTOR)
 
 
 @dataclass(slots=True)
@@ -106,7 +108,7 @@
                 vote.silent[message.id] = message.incarnation
             else:
                 vote.silent.pop(message.id, None)
-        self._count()
+        self._count_votes()
 
     def forget(self, upstream: UpstreamKey) -> None:
         """Drop what was told of an upstream that is forgotten."""
@@ -115,7 +117,7 @@
             if vote.silent.get(name) == incarnation:
                 del vote.silent[name]
 
-    def _count(self) -> None:
+    def _count_votes(self) -> None:
         """Count the votes of those that would have heard of an upstream lately."""
         limit = self._now() - _SILENCE_SECONDS
         first, *others = (
@@ -123,4 +125,4 @@
             for vote in self._votes.values()
             if vote.answered_at >= limit
         )
-        self._catalog.set_silent(set(first).intersection(*others), _VOTES)
+        self._catalog.set_silent(set(first).intersection(*others), _SOURCE_VOTES)
--- a/src/pepperstep/coordination/sync_client.py
+++ b/src/pepperstep/coordination/sync_client.py
@@ -47,7 +47,7 @@
     backoff: float = 1.0
     # Time after its start for which a host asks as often as at first: where all
     # have lost power, control hosts start half a second after entry hosts.
-    eager: float = 3.0
+    startup: float = 3.0
     # Time without an answer after which a control host counts as out of reach.
     reach: float = 2.0
     # Time until a control host that starts has heard of all entry hosts.
@@ -62,7 +62,7 @@
 
 
 @dataclass(slots=True)
-class _Source:
+class _ControlHost:
     """What this host has from one control host."""
 
     epoch: int = 0
@@ -70,7 +70,7 @@
     entries_version: int = 0
     # This host's report that the control host has; None after a question without an
     # answer, as it may have forgotten what it had.
-    told: EntryReport | None = None
+    reported: EntryReport | None = None
     answered_at: float = float("-inf")
     # Latest totals, and what brings them to this host's scale.
     totals: dict[str, int] = field(default_factory=dict)
@@ -115,8 +115,8 @@
         self._fetcher = TableFetcher(
             peers, timers, tables, self._rank, FetchSettings(delay=delay)
         )
-        self._sources: dict[str, _Source] = {}
-        self._wanted: set[str] = set(self._seeds)
+        self._control_hosts: dict[str, _ControlHost] = {}
+        self._known: set[str] = set(self._seeds)
         self._voters: frozenset[str] = frozenset()
         self._nursery: trio.Nursery | None = None
         self._wake = trio.Event()
@@ -142,14 +142,16 @@
         limit = self._timers.now() - self._settings.reach
         return sorted(
             name
-            for name, source in self._sources.items()
-            if source.answered_at >= limit
+            for name, control_host in self._control_hosts.items()
+            if control_host.answered_at >= limit
         )
 
     @property
     def silence(self) -> float:
         """Seconds since any control host's latest answer."""
-        latest = (source.answered_at for source in self._sources.values())
+        latest = (
+            control_host.answered_at for control_host in self._control_hosts.values()
+        )
         return self._timers.now() - max(latest, default=float("-inf"))
 
     @property
@@ -161,20 +163,22 @@
         the accounting is taken for over before it is.
         """
         now = self._timers.now()
-        told = (source.wall_offset for source in self._sources.values())
-        others = [offset for offset in told if offset is not None]
-        return now + _middle(others, self._timers.wall() - now)
+        reported = (
+            control_host.wall_offset for control_host in self._control_hosts.values()
+        )
+        others = [offset for offset in reported if offset is not None]
+        return now + _median(others, self._timers.wall() - now)
 
     def control_hosts(self) -> list[str]:
         """Return all control hosts that this host knows of, itself excluded."""
-        return sorted(self._wanted)
+        return sorted(self._known)
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED) -> None:
         """Ask until cancelled."""
         async with trio.open_nursery() as self._nursery:
-            self._want(self._seeds)
+            self._add_control_hosts(self._seeds)
             for name in self._seeds:
-                self._start(name)
+                self._start_polling(name)
             self._nursery.start_soon(self._fetcher.run)
             task_status.started()
             await trio.sleep_forever()
@@ -183,89 +187,94 @@
         """Begin a round at once, with this host's state as it is now."""
         self._wake.set()
         self._wake = trio.Event()
-        for source in self._sources.values():
-            source.scope.cancel()
+        for control_host in self._control_hosts.values():
+            control_host.scope.cancel()
 
-    def _want(self, names) -> None:
+    def _add_control_hosts(self, names) -> None:
         for name in names:
-            if name != self._name and name not in self._wanted:
-                self._wanted.add(name)
-                self._start(name)
+            if name != self._name and name not in self._known:
+                self._known.add(name)
+                self._start_polling(name)
 
-    def _start(self, name: str) -> None:
-        if name in self._sources:
+    def _start_polling(self, name: str) -> None:
+        if name in self._control_hosts:
             return
-        self._sources[name] = _Source()
-        self._nursery.start_soon(self._ask_forever, name)
+        self._control_hosts[name] = _ControlHost()
+        self._nursery.start_soon(self._poll, name)
 
-    async def _ask_forever(self, name: str) -> None:
-        source = self._sources[name]
-        was_reached = False
+    async def _poll(self, name: str) -> None:
+        control_host = self._control_hosts[name]
+        was_reachable = False
         backoff = self._settings.first_backoff
-        eager_until = self._timers.now() + self._settings.eager
-        while name in self._wanted:
-            if not self._is_asked(name):
+        startup_until = self._timers.now() + self._settings.startup
+        while name in self._known:
+            if not self._is_target(name):
                 with self._timers.move_on_after(self._settings.idle_pause):
                     await self._wake.wait()
                 continue
-            is_reached = await self._ask(name, source)
-            source.is_failing = not is_reached
-            if is_reached != was_reached:
-                text = "answers" if is_reached else "doesn't answer"
+            is_reachable = await self._exchange(name, control_host)
+            control_host.is_failing = not is_reachable
+            if is_reachable != was_reachable:
+                text = "answers" if is_reachable else "doesn't answer"
                 logging.info("sync: Control host %s %s.", name, text)
-            was_reached = is_reached
-            pause = self._settings.pause if is_reached else backoff
+            was_reachable = is_reachable
+            pause = self._settings.pause if is_reachable else backoff
             with self._timers.move_on_after(pause):
                 await self._wake.wait()
             backoff = min(2 * backoff, self._settings.backoff)
-            if is_reached or self._timers.now() < eager_until:
+            if is_reachable or self._timers.now() < startup_until:
                 backoff = self._settings.first_backoff
-        del self._sources[name]
+        del self._control_hosts[name]
         self._fetcher.forget(name)
 
-    def _is_asked(self, name: str) -> bool:
+    def _is_target(self, name: str) -> bool:
         """Whether this host asks a control host, or leaves it to others."""
-        return self._report is None or name in self._asked()
+        return self._report is None or name in self._targets()
 
-    def _asked(self) -> list[str]:
+    def _targets(self) -> list[str]:
         """Return the control hosts that an entry host asks.
 
         Each host ranks them by hashes of its own, so that all are asked alike. One that
         doesn't answer is asked on, and the next one besides.
         """
-        asked: list[str] = []
-        most_voters = len(self._voters) // 2 + 1
-        self._ask_more(asked, self._voters & self._wanted, most_voters)
-        self._ask_more(asked, self._wanted, self._settings.fanout)
-        return asked
-
-    def _ask_more(self, asked: list[str], names: Iterable[str], least: int) -> None:
+        targets: list[str] = []
+        voter_majority = len(self._voters) // 2 + 1
+        self._extend_targets(targets, self._voters & self._known, voter_majority)
+        self._extend_targets(targets, self._known, self._settings.fanout)
+        return targets
+
+    def _extend_targets(
+        self, targets: list[str], names: Iterable[str], least: int
+    ) -> None:
         """Add control hosts until so many answer of those that are asked."""
         for name in sorted(names, key=self._rank):
-            answering = sum(not self._sources[each].is_failing for each in asked)
+            answering = sum(
+                not self._control_hosts[each].is_failing for each in targets
+            )
             if answering >= least:
                 return
-            if name not in asked:
-                asked.append(name)
+            if name not in targets:
+                targets.append(name)
 
-    def _is_source(self, name: str) -> bool:
+    def _is_publisher(self, name: str) -> bool:
         """Whether a control host is the one that tells the others of this host.
 
         It's the first that answers and hears most control hosts, so that one which
         dies or is cut off is replaced; without any, all that are asked tell.
         """
-        ranked = sorted(self._sources, key=self._rank)
-        in_contact = [
+        ranked = sorted(self._control_hosts, key=self._rank)
+        connected = [
             each
             for each in ranked
-            if self._sources[each].is_in_contact and not self._sources[each].is_failing
+            if self._control_hosts[each].is_in_contact
+            and not self._control_hosts[each].is_failing
         ]
-        return not in_contact or name == in_contact[0]
+        return not connected or name == connected[0]
 
     def _rank(self, name: str) -> int:
         return xxhash.xxh64_intdigest(f"{self._name}/{name}".encode())
 
-    async def _ask(self, name: str, source: _Source) -> bool:
+    async def _exchange(self, name: str, control_host: _ControlHost) -> bool:
         wait = (
             self._settings.short_wait
             if self.needs_fresh_counts()
@@ -273,48 +282,52 @@
         )
         request = pb.SyncRequest(
             table_version=max(
-                self._tables.current.version, self._fetcher.told_by(name)
+                self._tables.current.version, self._fetcher.latest_version_of(name)
             ),
-            registry_epoch=source.epoch,
-            registry_version=source.version,
+            registry_epoch=control_host.epoch,
+            registry_version=control_host.version,
             is_control=self._report is None,
             wait=wait,
             directory_digest=self.directory.digest,
-            entries_version=source.entries_version,
-            is_source=self._is_source(name),
+            entries_version=control_host.entries_version,
+            is_source=self._is_publisher(name),
             rollouts_index=self.rollouts_index(),
         )
         report = None if self._report is None else self._report()
         if report is not None:
-            request.entry.CopyFrom(report.changed_since(source.told).to_message())
+            request.entry.CopyFrom(
+                report.changed_since(control_host.reported).to_message()
+            )
         asked_at = self._timers.now()
         # The first answer doesn't wait for news.
-        timeout = self._settings.timeout + (wait if source.epoch else 0.0)
+        timeout = self._settings.timeout + (wait if control_host.epoch else 0.0)
         reply = None
-        with trio.CancelScope() as source.scope:
+        with trio.CancelScope() as control_host.scope:
             try:
                 reply = await self._peers.call(name, request, timeout)
             except Failure:
-                source.told = None
+                control_host.reported = None
                 return False
         if reply is None:
             # Something is to be told at once.
             return True
-        source.answered_at = self._timers.now()
-        is_same_life = source.epoch in (0, reply.registry_epoch)
-        source.told = report if is_same_life else None
-        way = max(0.0, source.answered_at - asked_at - reply.waited)
-        source.wall_offset = reply.wall + way / 2 - source.answered_at
-        self._take(name, reply, source, way)
+        control_host.answered_at = self._timers.now()
+        is_same_epoch = control_host.epoch in (0, reply.registry_epoch)
+        control_host.reported = report if is_same_epoch else None
+        round_trip = max(0.0, control_host.answered_at - asked_at - reply.waited)
+        control_host.wall_offset = (
+            reply.wall + round_trip / 2 - control_host.answered_at
+        )
+        self._apply_reply(name, reply, control_host, round_trip)
         return True
 
-    def _take(
-        self, name: str, reply: pb.SyncReply, source: _Source, age: float
+    def _apply_reply(
+        self, name: str, reply: pb.SyncReply, control_host: _ControlHost, age: float
     ) -> None:
         # Before the table, whose quotas are shared by so many.
-        self._take_entry_count(reply, source)
-        self._fetcher.note_told(name, reply.table_version)
-        self._take_directory(reply, source)
+        self._update_entry_count(reply, control_host)
+        self._fetcher.record_version(name, reply.table_version)
+        self._update_directory(reply, control_host)
         if reply.has_all_restarted and not self.has_seen_restart:
             self.has_seen_restart = True
             logging.info("sync: All hosts have started anew.")
@@ -327,69 +340,73 @@
                 told_at = self._timers.now() - age
                 limit = StatedLimit.from_message(message.limit, told_at)
                 self._catalog.record_limit(announcement.key, limit, name)
-        source.version = reply.registry_version
-        source.entries_version = reply.entries_version
-        is_new_life = source.epoch != reply.registry_epoch
-        source.epoch = reply.registry_epoch
-        self._take_totals(reply, source, is_new_life)
+        control_host.version = reply.registry_version
+        control_host.entries_version = reply.entries_version
+        is_new_epoch = control_host.epoch != reply.registry_epoch
+        control_host.epoch = reply.registry_epoch
+        self._update_totals(reply, control_host, is_new_epoch)
         self.on_reply(name, reply, age)
-        self._take_control_hosts(reply)
+        self._update_control_hosts(reply)
 
-    def _take_entry_count(self, reply: pb.SyncReply, source: _Source) -> None:
+    def _update_entry_count(
+        self, reply: pb.SyncReply, control_host: _ControlHost
+    ) -> None:
         """Count as many entry hosts as any control host does that answers.
 
         One that's cut off counts fewer. By the latest answer alone, an entry host
         beside it took the whole of what four hosts share.
         """
-        source.entry_count = reply.entry_count
-        counts = (self._sources[name].entry_count for name in self.reached)
+        control_host.entry_count = reply.entry_count
+        counts = (self._control_hosts[name].entry_count for name in self.reached)
         self.entry_count = max(1, *counts)
 
-    def _take_directory(self, reply: pb.SyncReply, source: _Source) -> None:
+    def _update_directory(
+        self, reply: pb.SyncReply, control_host: _ControlHost
+    ) -> None:
         """Take in where callers connect.
 
         A control host that's cut off from most others may hear of few entry hosts;
         it's believed where no other one answers.
         """
-        source.is_in_contact = reply.is_in_contact
+        control_host.is_in_contact = reply.is_in_contact
         if not reply.HasField("directory"):
             return
-        in_contact = (self._sources[name].is_in_contact for name in self.reached)
-        if reply.is_in_contact or not any(in_contact):
+        connected = (self._control_hosts[name].is_in_contact for name in self.reached)
+        if reply.is_in_contact or not any(connected):
             self.directory = Directory.from_message(reply.directory)
 
-    def _take_totals(
-        self, reply: pb.SyncReply, source: _Source, is_new_life: bool
+    def _update_totals(
+        self, reply: pb.SyncReply, control_host: _ControlHost, is_new_epoch: bool
     ) -> None:
         """Bring each control host's totals to one scale, and take the highest."""
         now = self._timers.now()
-        if is_new_life:
-            source.settled_at = now + self._settings.settling
+        if is_new_epoch:
+            control_host.settled_at = now + self._settings.settling
         for message in reply.admitted_elsewhere:
             workspace = message.workspace
             known = self._totals.get(workspace, 0)
-            has_fallen = message.count < source.totals.get(workspace, 0)
-            source.totals[workspace] = message.count
-            is_new = workspace not in source.offsets
-            if now < source.settled_at or has_fallen or is_new:
-                source.offsets[workspace] = known - message.count
-            total = message.count + source.offsets[workspace]
+            has_decreased = message.count < control_host.totals.get(workspace, 0)
+            control_host.totals[workspace] = message.count
+            is_new = workspace not in control_host.offsets
+            if now < control_host.settled_at or has_decreased or is_new:
+                control_host.offsets[workspace] = known - message.count
+            total = message.count + control_host.offsets[workspace]
             if total > known:
                 self._totals[workspace] = total
                 self.on_admitted(workspace, total)
 
-    def _take_control_hosts(self, reply: pb.SyncReply) -> None:
+    def _update_control_hosts(self, reply: pb.SyncReply) -> None:
         if reply.is_in_contact or not self._voters:
             self._voters = frozenset(reply.voters)
         named = set(reply.control_hosts) - {self._name}
-        self._want(sorted(named))
+        self._add_control_hosts(sorted(named))
         silent = self._timers.now() - 5 * self._settings.reach
-        for name in sorted(self._wanted - named - set(self._seeds)):
-            if self._sources[name].answered_at < silent:
-                self._wanted.discard(name)
+        for name in sorted(self._known - named - set(self._seeds)):
+            if self._control_hosts[name].answered_at < silent:
+                self._known.discard(name)
 
 
-def _middle(others: list[float], own: float) -> float:
+def _median(others: list[float], own: float) -> float:
     """Return the middle vote; this host's own counts where that makes them odd."""
     votes = sorted(others if len(others) % 2 else [*others, own])
     return votes[len(votes) // 2]
--- a/src/pepperstep/coordination/sync_server.py
+++ b/src/pepperstep/coordination/sync_server.py
@@ -87,16 +87,16 @@
         self._is_in_contact = is_in_contact
         self._entries = entries
         self._started_at = timers.now()
-        self._news = trio.Event()
-        catalog.subscribe(self._note_news)
-        tables.subscribe(self._note_news)
+        self._changed = trio.Event()
+        catalog.subscribe(self._wake_waiting)
+        tables.subscribe(self._wake_waiting)
         self._rollouts = rollouts
         if rollouts is not None:
-            rollouts.subscribe(self._note_news)
+            rollouts.subscribe(self._wake_waiting)
         self._history = TableHistory()
         if tables.is_known:
-            self._note_table(tables.current)
-        tables.subscribe(self._note_table)
+            self._record_table(tables.current)
+        tables.subscribe(self._record_table)
         peers.handle(pb.SyncRequest, self._on_sync)
         peers.handle(pb.TableRequest, self._on_table)
         peers.handle(pb.AnswerNotice, self._on_answer_notice)
@@ -108,15 +108,15 @@
         Raise `Failure` with `NO_QUORUM` else, and with `INVALID_REQUEST` for what
         can't be an upstream's own words.
         """
-        self._check(announcement)
+        self._validate(announcement)
         arrived_at = self._timers.now()
         before = self._catalog.get(announcement.id)
         self._catalog.record(announcement)
         now = self._catalog.get(announcement.id)
         if announcement.takes_work or now.takes_work:
             return
-        is_news = before is None or before.takes_work or now.key != before.key
-        await self._acknowledge(now, is_news, arrived_at)
+        is_new = before is None or before.takes_work or now.key != before.key
+        await self._acknowledge(now, is_new, arrived_at)
 
     async def mark_gone(self, upstream: str, incarnation: int | None = None) -> None:
         """Take in that an upstream ends; raise as `receive_announcement` does.
@@ -125,11 +125,11 @@
         """
         arrived_at = self._timers.now()
         before = self._catalog.get(upstream)
-        is_news = before is None or not before.is_gone
+        is_new = before is None or not before.is_gone
         self._catalog.mark_gone(upstream, incarnation)
         now = self._catalog.get(upstream)
         if not now.takes_work:
-            await self._acknowledge(now, is_news, arrived_at)
+            await self._acknowledge(now, is_new, arrived_at)
 
     def merge_reply(self, control_host: str, reply: pb.SyncReply, age: float) -> None:
         """Take in another control host's answer that is `age` seconds old."""
@@ -142,7 +142,7 @@
                 key = (message.id, message.incarnation)
                 self._catalog.mark_silent(key, age + message.age, control_host)
 
-    def _check(self, announcement: Announcement) -> None:
+    def _validate(self, announcement: Announcement) -> None:
         """Raise `Failure` for an announcement that another writer must have made."""
         now = self._timers.wall()
         if announcement.incarnation / 1000 > now + _MAX_CLOCK_SKEW_SECONDS:
@@ -154,16 +154,16 @@
             raise Failure(Code.INVALID_REQUEST, text)
 
     async def _acknowledge(
-        self, upstream: Announcement, is_news: bool, arrived_at: float
+        self, upstream: Announcement, is_new: bool, arrived_at: float
     ) -> None:
         """Return once all hosts keep to it that an upstream leaves or ends."""
-        known_by = await self._departures.spread(upstream)
+        known_by = await self._departures.replicate(upstream)
         event = LeavingAcknowledged(
             upstream=upstream.id,
             incarnation=upstream.incarnation,
             service=upstream.service,
             is_gone=upstream.is_gone,
-            is_repeat=not is_news,
+            is_repeat=not is_new,
             known_by=known_by,
             after_ms=round(1000 * (self._timers.now() - arrived_at)),
         )
@@ -189,7 +189,7 @@
             report = EntryReport.from_message(request.entry)
             self._entries.record(report, request.is_source)
         asked_at = self._timers.now()
-        await self._wait_news(request)
+        await self._wait_changes(request)
         reply = pb.SyncReply(
             waited=self._timers.now() - asked_at,
             table_version=self._tables.current.version,
@@ -215,27 +215,27 @@
     async def _on_table(self, request: pb.TableRequest, sender: str) -> pb.TablePart:
         return self._history.part_for(request)
 
-    def _note_table(self, table: RouteTable) -> None:
+    def _record_table(self, table: RouteTable) -> None:
         self._history.add(self._tables.document)
 
-    async def _wait_news(self, request: pb.SyncRequest) -> None:
+    async def _wait_changes(self, request: pb.SyncRequest) -> None:
         """Return once there is something that the asker doesn't have, or in time."""
         with self._timers.move_on_after(min(request.wait, _MAX_WAIT_SECONDS)):
-            while not self._has_news(request):
-                await self._news.wait()
+            while not self._has_changes(request):
+                await self._changed.wait()
 
-    def _has_news(self, request: pb.SyncRequest) -> bool:
+    def _has_changes(self, request: pb.SyncRequest) -> bool:
         if request.registry_epoch != self._epoch:
             return True
         if request.registry_version < self._catalog.version:
             return True
-        if self._knows_rollouts_besides(request):
+        if self._has_newer_rollouts(request):
             return True
         return request.table_version < self._tables.current.version
 
-    def _note_news(self, _: object) -> None:
-        self._news.set()
-        self._news = trio.Event()
+    def _wake_waiting(self, _: object) -> None:
+        self._changed.set()
+        self._changed = trio.Event()
 
     def _add_upstreams(self, request: pb.SyncRequest, reply: pb.SyncReply) -> None:
         reply.is_whole = request.registry_epoch != self._epoch
@@ -252,14 +252,14 @@
         if request.is_control and not reply.is_whole:
             self._add_renewals(reply)
 
-    def _knows_rollouts_besides(self, request: pb.SyncRequest) -> bool:
+    def _has_newer_rollouts(self, request: pb.SyncRequest) -> bool:
         """Whether an entry host lacks a change of a roll-out."""
         if self._rollouts is None or request.is_control:
             return False
         return request.rollouts_index < self._rollouts.index
 
     def _add_rollouts(self, request: pb.SyncRequest, reply: pb.SyncReply) -> None:
-        if self._knows_rollouts_besides(request):
+        if self._has_newer_rollouts(request):
             reply.rollouts.extend(self._rollouts.messages())
         if self._rollouts is not None:
             reply.judge = self._rollouts.judge()
@@ -284,9 +284,9 @@
 
     def _add_renewals(self, reply: pb.SyncReply) -> None:
         """Tell another control host that upstreams without news live on."""
-        told = {message.id for message in reply.upstreams}
+        listed = {message.id for message in reply.upstreams}
         for announcement in self._catalog.all():
-            if announcement.key in self._catalog.silent or announcement.id in told:
+            if announcement.key in self._catalog.silent or announcement.id in listed:
                 continue
             if announcement.takes_work:
                 message = announcement.to_message(self._catalog.age(announcement.id))
--- a/src/pepperstep/coordination/table_fetcher.py
+++ b/src/pepperstep/coordination/table_fetcher.py
@@ -64,63 +64,63 @@
         self._tables = tables
         self._rank = rank
         self._settings = settings or FetchSettings()
-        self._told: dict[str, int] = {}
+        self._versions: dict[str, int] = {}
         # Time until which a control host is passed over.
-        self._passed_until: dict[str, float] = {}
+        self._backoff_until: dict[str, float] = {}
         self._partial = _Partial()
         # Whether steps didn't fit, so that the whole document is asked for.
         self._needs_whole = False
-        self._news = trio.Event()
+        self._newer_version = trio.Event()
 
-    def told_by(self, control_host: str) -> int:
+    def latest_version_of(self, control_host: str) -> int:
         """Return the newest version that a control host has told of."""
-        return self._told.get(control_host, 0)
+        return self._versions.get(control_host, 0)
 
-    def note_told(self, control_host: str, version: int) -> None:
+    def record_version(self, control_host: str, version: int) -> None:
         """Take in the version that a control host has."""
-        self._told[control_host] = version
+        self._versions[control_host] = version
         if version > self._tables.current.version:
-            self._news.set()
+            self._newer_version.set()
 
     def forget(self, control_host: str) -> None:
         """Drop a control host that isn't asked anything any more."""
-        self._told.pop(control_host, None)
-        self._passed_until.pop(control_host, None)
+        self._versions.pop(control_host, None)
+        self._backoff_until.pop(control_host, None)
 
     async def run(self) -> None:
         """Fetch until cancelled."""
         while True:
-            await self._wait_news()
-            source = self._choose_source()
-            if source is None:
+            await self._wait_newer_version()
+            control_host = self._choose_control_host()
+            if control_host is None:
                 await self._timers.sleep(self._settings.backoff)
             else:
-                await self._fetch_part(source)
+                await self._fetch_part(control_host)
 
-    async def _wait_news(self) -> None:
+    async def _wait_newer_version(self) -> None:
         if self._is_behind():
             return
         while not self._is_behind():
-            self._news = trio.Event()
-            await self._news.wait()
+            self._newer_version = trio.Event()
+            await self._newer_version.wait()
         await self._timers.sleep(self._settings.delay)
 
     def _is_behind(self) -> bool:
-        held = self._tables.current.version
-        return any(version > held for version in self._told.values())
+        current = self._tables.current.version
+        return any(version > current for version in self._versions.values())
 
-    def _choose_source(self) -> str | None:
+    def _choose_control_host(self) -> str | None:
         """Return the first control host by rank that has something newer."""
-        held = self._tables.current.version
+        current = self._tables.current.version
         now = self._timers.now()
-        newer = [
+        candidates = [
             name
-            for name, version in self._told.items()
-            if version > held and self._passed_until.get(name, now) <= now
+            for name, version in self._versions.items()
+            if version > current and self._backoff_until.get(name, now) <= now
         ]
-        return min(newer, key=self._rank, default=None)
+        return min(candidates, key=self._rank, default=None)
 
-    async def _fetch_part(self, source: str) -> None:
+    async def _fetch_part(self, control_host: str) -> None:
         """Take the next part, and the update once it's whole."""
         request = pb.TableRequest(
             from_version=0 if self._needs_whole else self._tables.current.version,
@@ -128,24 +128,24 @@
             offset=len(self._partial.data),
         )
         try:
-            part = await self._peers.call(source, request, self._settings.timeout)
+            part = await self._peers.call(control_host, request, self._settings.timeout)
         except Failure as failure:
-            logging.info("fetcher: %s gives no routes: %s", source, failure.text)
-            self._pass_over(source)
+            logging.info("fetcher: %s gives no routes: %s", control_host, failure.text)
+            self._back_off(control_host)
             return
         if not part.data:
             # It has lost what it told of, or never had it.
-            self._told[source] = part.version
-            self._pass_over(source)
+            self._versions[control_host] = part.version
+            self._back_off(control_host)
             return
-        self._take_part(part)
+        self._append_part(part)
         if len(self._partial.data) >= part.size:
-            await self._take_update(source)
+            await self._apply_update(control_host)
 
-    def _pass_over(self, source: str) -> None:
-        self._passed_until[source] = self._timers.now() + self._settings.pause
+    def _back_off(self, control_host: str) -> None:
+        self._backoff_until[control_host] = self._timers.now() + self._settings.pause
 
-    def _take_part(self, part: pb.TablePart) -> None:
+    def _append_part(self, part: pb.TablePart) -> None:
         partial = self._partial
         is_next = part.digest == partial.digest and part.offset == len(partial.data)
         if part.offset == 0:
@@ -155,14 +155,14 @@
         else:
             self._partial = _Partial()
 
-    async def _take_update(self, source: str) -> None:
+    async def _apply_update(self, control_host: str) -> None:
         data, self._partial = self._partial.data, _Partial()
         try:
             document = apply_update(self._tables.document, data)
             await self._tables.install_in_steps(document)
         except Failure as failure:
-            logging.error("fetcher: An update of %s: %s", source, failure.text)
+            logging.error("fetcher: An update of %s: %s", control_host, failure.text)
             self._needs_whole = True
-            self._pass_over(source)
+            self._back_off(control_host)
         else:
             self._needs_whole = False
--- a/src/pepperstep/coordination/table_history.py
+++ b/src/pepperstep/coordination/table_history.py
@@ -53,7 +53,7 @@
             return pb.TablePart(version=self._document.version)
         digest, offset = request.digest, request.offset
         if digest not in self._updates:
-            digest = self._prepare(request.from_version)
+            digest = self._prepare_update(request.from_version)
         if digest != request.digest or offset >= len(self._updates[digest]):
             offset = 0
         self._updates.move_to_end(digest)
@@ -74,7 +74,7 @@
         while self._step_bytes > limit or len(self._steps) > _MAX_STEPS:
             self._step_bytes -= self._steps.popleft().ByteSize()
 
-    def _prepare(self, version: int) -> int:
+    def _prepare_update(self, version: int) -> int:
         """Return the digest of the update for a host at a version."""
         digest = self._digests.get(version)
         if digest in self._updates:
--- a/src/pepperstep/coordination/table_updates.py
+++ b/src/pepperstep/coordination/table_updates.py
@@ -60,7 +60,7 @@
     return compress(update.SerializeToString())
 
 
-def apply_update(held: Document, data: bytes) -> Document:
+def apply_update(current: Document, data: bytes) -> Document:
     """Return the document that a compressed update makes of the one held.
 
     Raise `Failure` with `INVALID_REQUEST` for an update that can't be read, that
@@ -70,11 +70,13 @@
     if update.document:
         return Document(update.version, update.document)
     for step in update.steps:
-        if step.version > held.version:
-            held = _apply_step(held, step)
-    if held.version != update.version:
-        raise _unfit(f"It leads to version {held.version}, not {update.version}.")
-    return held
+        if step.version > current.version:
+            current = _apply_step(current, step)
+    if current.version != update.version:
+        raise _invalid_update(
+            f"It leads to version {current.version}, not {update.version}."
+        )
+    return current
 
 
 def compress(data: bytes) -> bytes:
@@ -88,9 +90,9 @@
     try:
         plain = decompressor.decompress(data, _MAX_BYTES)
     except zlib.error as error:
-        raise _unfit(str(error)) from error
+        raise _invalid_update(str(error)) from error
     if not decompressor.eof:
-        raise _unfit("It's too long, or its end is missing.")
+        raise _invalid_update("It's too long, or its end is missing.")
     return plain
 
 
@@ -98,22 +100,24 @@
     try:
         return pb.TableUpdate.FromString(decompress(data))
     except DecodeError as error:
-        raise _unfit(str(error)) from error
+        raise _invalid_update(str(error)) from error
 
 
-def _apply_step(held: Document, step: pb.TableStep) -> Document:
-    if step.from_version != held.version:
-        raise _unfit(f"A step begins at {step.from_version}, not {held.version}.")
+def _apply_step(current: Document, step: pb.TableStep) -> Document:
+    if step.from_version != current.version:
+        raise _invalid_update(
+            f"A step begins at {step.from_version}, not {current.version}."
+        )
     try:
-        data = apply_splices(held.data, step.splices)
+        data = apply_splices(current.data, step.splices)
     except ValueError as error:
-        raise _unfit(str(error)) from error
+        raise _invalid_update(str(error)) from error
     if _digest(data) != step.digest:
-        raise _unfit(f"The step to {step.version} leads to other bytes.")
+        raise _invalid_update(f"The step to {step.version} leads to other bytes.")
     return Document(step.version, data)
 
 
-def _unfit(text: str) -> Failure:
+def _invalid_update(text: str) -> Failure:
     return Failure(Code.INVALID_REQUEST, f"The update doesn't fit: {text}")
 
 
--- a/src/pepperstep/coordination/tables.py
+++ b/src/pepperstep/coordination/tables.py
@@ -81,7 +81,7 @@
     def __init__(self, decode: Decoder):
         self._decode = decode
         self._subscribers: list[Callable[[RouteTable], None]] = []
-        self._first = trio.Event()
+        self._has_table = trio.Event()
         self.current = RouteTable(0)
         self.document = Document()
 
@@ -92,7 +92,7 @@
 
     async def wait_known(self) -> None:
         """Return once a table has reached this host."""
-        await self._first.wait()
+        await self._has_table.wait()
 
     def subscribe(self, subscriber: Callable[[RouteTable], None]) -> None:
         """Call `subscriber` with each table that comes in force."""
@@ -100,15 +100,15 @@
 
     def install(self, document: Document) -> None:
         """Put an agreed document in force, unless it isn't newer."""
-        for _ in self._take(document):
+        for _ in self._install(document):
             pass
 
     async def install_in_steps(self, document: Document) -> None:
         """Do the same, and let requests run while a large document is read."""
-        for _ in self._take(document):
+        for _ in self._install(document):
             await trio.lowlevel.checkpoint()
 
-    def _take(self, document: Document) -> Iterator[None]:
+    def _install(self, document: Document) -> Iterator[None]:
         if document.version > self.current.version:
             table = yield from self._decode(document.data)
             self._put_in_force(document, table)
@@ -126,7 +126,7 @@
         logging.info("tables: %s", event)
         self.current = table
         self.document = document
-        self._first.set()
+        self._has_table.set()
         for subscriber in self._subscribers:
             subscriber(table)
 
@@ -148,8 +148,10 @@
     update = _update_from(held, document)
     if not await _propose(agreement, document.version, update, timeout):
         return
-    rest = deadline - timers.now()
-    if not await _propose(agreement, document.version, encode_whole(document), rest):
+    remaining = deadline - timers.now()
+    if not await _propose(
+        agreement, document.version, encode_whole(document), remaining
+    ):
         return
     raise Failure(Code.INTERNAL, "The document isn't taken in whole either.")
 
--- a/src/pepperstep/coordination/upstream_catalog.py
+++ b/src/pepperstep/coordination/upstream_catalog.py
@@ -28,14 +28,14 @@
 # Upstreams that are gone are remembered, so that a late announcement doesn't
 # bring them back. 10,000 upstreams that are replaced once an hour leave
 # 8,192 of these in 49 minutes; announcements are late by seconds.
-_MAX_GONE = 8_192
+_MAX_GONE_UPSTREAMS = 8_192
 
 # Who told what is known of an upstream, where it's no other host.
-_ITSELF = "itself"
+_SOURCE_ITSELF = "itself"
 
 _SILENT = "silent"
 # Where something was learned from, if no other host told of it.
-_ANSWER = "answer"
+_SOURCE_ANSWER = "answer"
 
 # Called with what is known of an upstream.
 Subscriber = Callable[[Announcement], None]
@@ -109,7 +109,7 @@
         if entries is None:
             entries = [
                 entry
-                for entry in self._taking_work(service)
+                for entry in self._accepting_work(service)
                 if entry.announcement.key not in self._silent
             ]
             self._working[service] = entries
@@ -121,10 +121,10 @@
         Where all of a service are silent, it's likelier that those who listen have a
         fault than that all have ended at once: then the silent ones are usable.
         """
-        heard_of = self.working(service)
-        if heard_of or not self._silent:
-            return heard_of
-        return [entry.announcement for entry in self._taking_work(service)]
+        heard = self.working(service)
+        if heard or not self._silent:
+            return heard
+        return [entry.announcement for entry in self._accepting_work(service)]
 
     def limit_of(self, upstream: UpstreamKey) -> StatedLimit | None:
         """Return the limit that an upstream states, None if it states none now."""
@@ -133,7 +133,7 @@
 
     def latest_limit(self, upstream: UpstreamKey) -> StatedLimit | None:
         """Return the same, also one that has ended; None if none was ever stated."""
-        entry = self._find(upstream)
+        entry = self._entry_of(upstream)
         return None if entry is None else entry.limit
 
     def limited_count(self) -> int:
@@ -141,26 +141,28 @@
         keys = [entry.announcement.key for entry in self._entries.values()]
         return sum(self.limit_of(key) is not None for key in keys)
 
-    def mark_leaving(self, upstream: UpstreamKey, told_by: str = _ANSWER) -> bool:
+    def mark_leaving(
+        self, upstream: UpstreamKey, told_by: str = _SOURCE_ANSWER
+    ) -> bool:
         """Take in that an upstream's answers say that it leaves.
 
         Return whether that's news.
         """
-        entry = self._find(upstream)
+        entry = self._entry_of(upstream)
         if entry is None or not entry.announcement.takes_work:
             return False
         leaving = replace(entry.announcement, is_leaving=True)
-        self._put(replace(entry, announcement=leaving), told_by)
+        self._replace_entry(replace(entry, announcement=leaving), told_by)
         return True
 
     def record_limit(
-        self, upstream: UpstreamKey, limit: StatedLimit, told_by: str = _ANSWER
+        self, upstream: UpstreamKey, limit: StatedLimit, told_by: str = _SOURCE_ANSWER
     ) -> bool:
         """Take in a stated limit, and return whether it differs from the known one.
 
         The latest statement holds, whichever comes first.
         """
-        entry = self._find(upstream)
+        entry = self._entry_of(upstream)
         if entry is None:
             return False
         known = entry.limit
@@ -171,7 +173,7 @@
         if limit.rate == rate_before:
             return False
         self._log_limit(entry, rate_before, told_by)
-        self._note_change(entry)
+        self._publish_change(entry)
         return True
 
     def heard_by(self, upstream: str) -> str:
@@ -213,7 +215,7 @@
         self,
         announcement: Announcement,
         age: float = 0.0,
-        told_by: str = _ITSELF,
+        told_by: str = _SOURCE_ITSELF,
         heard_by: str = "",
     ) -> bool:
         """Take in an announcement and return whether it changed anything.
@@ -226,28 +228,31 @@
         heard_by = heard_by or self._name
         if known is None:
             entry = _Entry(announcement, self.version, heard_at, heard_by)
-            self._put(entry, told_by)
+            self._replace_entry(entry, told_by)
             return True
         if announcement.incarnation > known.announcement.incarnation:
             entry = _Entry(announcement, self.version, heard_at, heard_by)
-            self._restart(known.announcement, entry, told_by)
+            self._replace_incarnation(known.announcement, entry, told_by)
             return True
-        if _is_foreign(known.announcement, announcement):
+        if _is_rejected(known.announcement, announcement):
             return False
         if heard_at > known.heard_at:
             known.heard_at, known.heard_by = heard_at, heard_by
         if heard_at > self._silent.get(announcement.key, math.inf):
-            self._note_silence(known, False, told_by)
+            self._set_silence(known, False, told_by)
         merged = _merge(known.announcement, announcement)
-        if _says_the_same(merged, known.announcement):
+        if _equal_but_for_sequence(merged, known.announcement):
             known.announcement = merged
             return False
         entry = replace(known, announcement=merged)
-        self._put(entry, told_by)
+        self._replace_entry(entry, told_by)
         return True
 
     def mark_gone(
-        self, upstream: str, incarnation: int | None = None, told_by: str = _ITSELF
+        self,
+        upstream: str,
+        incarnation: int | None = None,
+        told_by: str = _SOURCE_ITSELF,
     ) -> None:
         """Take in that a start of an upstream is gone, known or not.
 
@@ -269,19 +274,19 @@
 
         A host that has heard of the upstream since then knows better.
         """
-        entry = self._find(upstream)
+        entry = self._entry_of(upstream)
         if entry is None:
             return
-        is_news = upstream not in self._silent and not entry.announcement.is_gone
-        if is_news and entry.heard_at <= self._now() - age:
-            self._note_silence(entry, True, told_by)
+        is_new = upstream not in self._silent and not entry.announcement.is_gone
+        if is_new and entry.heard_at <= self._now() - age:
+            self._set_silence(entry, True, told_by)
 
     def set_silent(self, silent: Set[UpstreamKey], told_by: str) -> None:
         """Let just these upstreams count as silent, and the others as heard of."""
         for key in sorted(silent ^ self.silent):
-            entry = self._find(key)
+            entry = self._entry_of(key)
             if entry is not None:
-                self._note_silence(entry, key in silent, told_by)
+                self._set_silence(entry, key in silent, told_by)
 
     def forget_silent(self, seconds: float) -> None:
         """Forget the upstreams that have counted as silent for longer.
@@ -293,7 +298,9 @@
             if since < limit:
                 self._forget(key)
 
-    def _restart(self, before: Announcement, entry: _Entry, told_by: str) -> None:
+    def _replace_incarnation(
+        self, before: Announcement, entry: _Entry, told_by: str
+    ) -> None:
         """Take in an upstream's later start, and drop what was known before."""
         announcement = entry.announcement
         logging.info(
@@ -303,7 +310,7 @@
             before.incarnation,
         )
         self._gone.pop(announcement.id, None)
-        self._put(entry, told_by)
+        self._replace_entry(entry, told_by)
         self._silent.pop(before.key, None)
         for subscriber in self._restart_subscribers:
             subscriber(before)
@@ -316,30 +323,30 @@
         for subscriber in self._forget_subscribers:
             subscriber(entry.announcement)
 
-    def _put(self, entry: _Entry, told_by: str) -> None:
+    def _replace_entry(self, entry: _Entry, told_by: str) -> None:
         announcement = entry.announcement
         before = self.get(announcement.id)
-        state_before = "" if before is None else self._state_of(before)
+        state_before = "" if before is None else self._state(before)
         self._entries[announcement.id] = entry
         if announcement.is_gone:
             self._silent.pop(announcement.key, None)
-            self._remember_gone(announcement.id)
-        self._note_change(entry)
-        is_same_life = before is not None and before.key == announcement.key
-        if not is_same_life or state_before != self._state_of(announcement):
+            self._keep_gone(announcement.id)
+        self._publish_change(entry)
+        is_same_incarnation = before is not None and before.key == announcement.key
+        if not is_same_incarnation or state_before != self._state(announcement):
             self._log_state(announcement, state_before, told_by)
 
-    def _note_silence(self, entry: _Entry, is_silent: bool, told_by: str) -> None:
+    def _set_silence(self, entry: _Entry, is_silent: bool, told_by: str) -> None:
         upstream = entry.announcement
-        state_before = self._state_of(upstream)
+        state_before = self._state(upstream)
         if is_silent:
             self._silent[upstream.key] = self._now()
         else:
             self._silent.pop(upstream.key, None)
-        self._note_change(entry)
+        self._publish_change(entry)
         self._log_state(upstream, state_before, told_by)
 
-    def _note_change(self, entry: _Entry) -> None:
+    def _publish_change(self, entry: _Entry) -> None:
         self.version += 1
         entry.version = self.version
         self._working.clear()
@@ -348,14 +355,14 @@
         for subscriber in self._subscribers:
             subscriber(entry.announcement)
 
-    def _find(self, upstream: UpstreamKey) -> _Entry | None:
+    def _entry_of(self, upstream: UpstreamKey) -> _Entry | None:
         """Return what is known of one start of an upstream, None if it isn't known."""
         entry = self._entries.get(upstream[0])
         if entry is None or entry.announcement.key != upstream:
             return None
         return entry
 
-    def _taking_work(self, service: str) -> list[_Entry]:
+    def _accepting_work(self, service: str) -> list[_Entry]:
         """Return the upstreams of `service` that take work, silent or not, by id."""
         return [
             entry
@@ -363,7 +370,7 @@
             if entry.announcement.service == service and entry.announcement.takes_work
         ]
 
-    def _state_of(self, upstream: Announcement) -> str:
+    def _state(self, upstream: Announcement) -> str:
         if upstream.is_gone:
             return "gone"
         if upstream.key in self._silent:
@@ -375,7 +382,7 @@
             upstream=now.id,
             incarnation=now.incarnation,
             service=now.service,
-            state=self._state_of(now),
+            state=self._state(now),
             state_before=state_before,
             told_by=told_by,
             announcement=now.sequence,
@@ -399,14 +406,14 @@
         )
         logging.info("book: %s", event)
 
-    def _remember_gone(self, upstream: str) -> None:
+    def _keep_gone(self, upstream: str) -> None:
         self._gone[upstream] = None
-        while len(self._gone) > _MAX_GONE:
+        while len(self._gone) > _MAX_GONE_UPSTREAMS:
             oldest, _ = self._gone.popitem(last=False)
             self._entries.pop(oldest, None)
 
 
-def _is_foreign(known: Announcement, heard: Announcement) -> bool:
+def _is_rejected(known: Announcement, heard: Announcement) -> bool:
     """Whether an announcement isn't of the incarnation and service that are known."""
     if heard.incarnation < known.incarnation:
         return True
@@ -426,7 +433,7 @@
     )
 
 
-def _says_the_same(one: Announcement, other: Announcement) -> bool:
+def _equal_but_for_sequence(one: Announcement, other: Announcement) -> bool:
     """Whether two announcements differ in their number at most."""
     return replace(one, sequence=0, warmup=0.0, leaves_in=0.0) == replace(
         other, sequence=0, warmup=0.0, leaves_in=0.0
--- a/src/pepperstep/coordination/usage.py
+++ b/src/pepperstep/coordination/usage.py
@@ -28,7 +28,7 @@
 _KEPT_WINDOWS = 64
 # Time after a window's end until the entry hosts' counts are all there, in
 # seconds: they come four times a second, clocks differ by a part of one.
-_SETTLE_SECONDS = 1.5
+_SETTLING_SECONDS = 1.5
 # Windows before the latest that a new leader reports again.
 _REPEATED_WINDOWS = 2
 _PROPOSE_SECONDS = 2.0
@@ -51,15 +51,15 @@
         """Take a window's sums, unless there are some; return those that hold."""
         message = pb.UsageCommand.FromString(command)
         counts = messages_to_counts(message.counts)
-        held = self._reports.setdefault(message.window, counts)
+        committed = self._reports.setdefault(message.window, counts)
         while len(self._reports) > _KEPT_WINDOWS:
             self._reports.popitem(last=False)
-        return _command(message.window, held).SerializeToString()
+        return _usage_command(message.window, committed).SerializeToString()
 
     def snapshot(self) -> bytes:
         """Return all sums."""
         state = pb.UsageState(
-            reports=[_command(window, counts) for window, counts in self._items()]
+            reports=[_usage_command(window, counts) for window, counts in self._items()]
         )
         return state.SerializeToString()
 
@@ -94,7 +94,7 @@
         self._timers = timers
         self._wall = wall
         self._fence = 0
-        self._next = 0
+        self._next_window = 0
 
     async def run(self) -> None:
         """Report until cancelled."""
@@ -102,16 +102,16 @@
             holder = self._duty.holder()
             if holder is None:
                 continue
-            latest = int((self._wall() - _SETTLE_SECONDS) // self._window) - 1
+            latest = int((self._wall() - _SETTLING_SECONDS) // self._window) - 1
             if holder.fence != self._fence:
                 self._fence = holder.fence
-                self._next = max(self._next, latest - _REPEATED_WINDOWS)
-            if self._next <= latest and await self._report(self._next):
-                self._next += 1
+                self._next_window = max(self._next_window, latest - _REPEATED_WINDOWS)
+            if self._next_window <= latest and await self._report(self._next_window):
+                self._next_window += 1
 
     async def _report(self, window: int) -> bool:
         """Commit and report one window; return whether that's done."""
-        command = _command(window, self._entries.counts_of(window))
+        command = _usage_command(window, self._entries.counts_of(window))
         try:
             data = await self._agreement.propose(
                 USAGE_MACHINE, command.SerializeToString(), _PROPOSE_SECONDS
@@ -137,11 +137,11 @@
             report.fence,
             sum(counts.values()),
             len(counts),
-            self._entries.lives_counting(window),
+            self._entries.count_reporting_incarnations(window),
         )
         logging.info("usage: %s", event)
         return True
 
 
-def _command(window: int, counts: dict[str, int]) -> pb.UsageCommand:
+def _usage_command(window: int, counts: dict[str, int]) -> pb.UsageCommand:
     return pb.UsageCommand(window=window, counts=counts_to_messages(counts))
--- a/src/pepperstep/rollouts/director.py
+++ b/src/pepperstep/rollouts/director.py
@@ -7,7 +7,7 @@
 
 from pepperstep.coordination.entry_host_catalog import EntryHostCatalog
 from pepperstep.coordination.records import Announcement
-from pepperstep.coordination.scaling import upstreams_for
+from pepperstep.coordination.scaling import required_upstreams
 from pepperstep.coordination.upstream_catalog import UpstreamCatalog
 from pepperstep.errors import Code, Failure
 from pepperstep.observability.decisions import RolloutMoved
@@ -173,7 +173,7 @@
             now=now,
             new_count=new_count,
             old_count=len(working) - new_count,
-            needed=upstreams_for(self._entries.work_of(rollout.service)),
+            needed=required_upstreams(self._entries.work_of(rollout.service)),
             verdict=judge(outcomes, evidence.before) if ended else Verdict(False),
             rate=(ended + outcomes.of_old().total) / seconds,
             outcomes=ended,
--- a/tests/relaying/test_scaling.py
+++ b/tests/relaying/test_scaling.py
@@ -8,7 +8,7 @@
     Demand,
     ZoneCounts,
     plan_counts,
-    upstreams_for,
+    required_upstreams,
 )
 from pepperstep.entities.routes import ScalingBounds
 
@@ -34,7 +34,7 @@
     bounds=BOUNDS,
     steady=0,
     coming=None,
-    are_losses_close=False,
+    are_losses_clustered=False,
 ):
     """Return the plan where `standing` reclaimable upstreams are in each zone.
 
@@ -45,7 +45,7 @@
     stand = {zone: ZoneCounts(steady, standing.get(zone, 0)) for zone in ZONES}
     coming = {zone: standing.get(zone, 0) for zone in ZONES} | (coming or {})
     return plan_counts(
-        demand, bounds, ZONES, frozenset(dry), stand, coming, are_losses_close
+        demand, bounds, ZONES, frozenset(dry), stand, coming, are_losses_clustered
     )
 
 
@@ -154,8 +154,8 @@
 
 
 def test_reading_and_requests_each_need_upstreams():
-    assert upstreams_for(ServiceWork(in_flight=8, reading=3.0)) == pytest.approx(5)
-    assert upstreams_for(ServiceWork(in_flight=60, reading=0.0)) == 4
+    assert required_upstreams(ServiceWork(in_flight=8, reading=3.0)) == pytest.approx(5)
+    assert required_upstreams(ServiceWork(in_flight=60, reading=0.0)) == 4
 
 
 def test_plan_stays_when_dry_zones_are_taken_for_open_again():
@@ -181,7 +181,7 @@
     standing = {"a": 0, "b": 0, "c": 6}
     demand = requests(peak=30, present=20, mean=20)
     apart = plan(demand, dry=("a", "b"), standing=standing)
-    close = plan(demand, dry=("a", "b"), standing=standing, are_losses_close=True)
+    close = plan(demand, dry=("a", "b"), standing=standing, are_losses_clustered=True)
     assert sum(each.steady for each in apart.values()) == 2
     assert sum(each.steady for each in close.values()) == 6
 
@@ -191,21 +191,21 @@
     now = 0.0
     state = OrderState(lambda: now)
     now = 100.0
-    state.note_dry("a")
+    state.mark_exhausted("a")
     while now < 100.0 + pause:
         now += 0.5
-        state.note_dry("a")
-    state.note_dry("b")
-    assert state.are_losses_close(BOUNDS.boot_seconds) is expected
+        state.mark_exhausted("a")
+    state.mark_exhausted("b")
+    assert state.are_losses_clustered(BOUNDS.boot_seconds) is expected
     now += 10.0
-    assert not state.are_losses_close(BOUNDS.boot_seconds)
+    assert not state.are_losses_clustered(BOUNDS.boot_seconds)
 
 
 def test_new_holder_does_not_take_old_losses_for_close_ones():
     now = 100.0
     state = OrderState(lambda: now)
     while now < 112.0:
-        state.note_dry("a")
-        state.note_dry("b")
-        assert not state.are_losses_close(BOUNDS.boot_seconds)
+        state.mark_exhausted("a")
+        state.mark_exhausted("b")
+        assert not state.are_losses_clustered(BOUNDS.boot_seconds)
         now += 1.0
--- a/tests/relaying/test_table_updates.py
+++ b/tests/relaying/test_table_updates.py
@@ -177,7 +177,7 @@
     site.add("b", answer=pb.TablePart(version=9, digest=1, size=3, data=b"abc"))
     site.add("c", make_document(2))
     for name, version in (("a", 10**6), ("b", 9), ("c", 2)):
-        site.fetcher.note_told(name, version)
+        site.fetcher.record_version(name, version)
     await trio.sleep(1.0)
     assert site.store.current.version == 2
     # What was told wrongly is asked for now and then only.
@@ -188,11 +188,11 @@
 
 async def test_generation_that_is_older_changes_nothing(site):
     site.add("a", make_document(5))
-    site.fetcher.note_told("a", 5)
+    site.fetcher.record_version("a", 5)
     await trio.sleep(1.0)
     site.add("b", make_document(3))
-    site.fetcher.note_told("b", 3)
-    site.fetcher.note_told("a", 3)
+    site.fetcher.record_version("b", 3)
+    site.fetcher.record_version("a", 3)
     await trio.sleep(1.0)
     assert site.store.current.version == 5
 
@@ -201,7 +201,7 @@
     site.add("a", make_document(2))
     site.add("b", make_document(2))
     site.network.isolate("a")
-    site.fetcher.note_told("a", 2)
-    site.fetcher.note_told("b", 2)
+    site.fetcher.record_version("a", 2)
+    site.fetcher.record_version("b", 2)
     await trio.sleep(1.5)
     assert site.store.current.version == 2
--- a/tests/relaying/test_upstream_restarts.py
+++ b/tests/relaying/test_upstream_restarts.py
@@ -72,7 +72,9 @@
 async def test_upstream_that_started_again_is_not_forgotten_among_gone_ones(
     autojump_clock, monkeypatch
 ):
-    monkeypatch.setattr("pepperstep.coordination.upstream_catalog._MAX_GONE", 1)
+    monkeypatch.setattr(
+        "pepperstep.coordination.upstream_catalog._MAX_GONE_UPSTREAMS", 1
+    )
     catalog = UpstreamCatalog(trio.current_time)
     catalog.record(announcement())
     catalog.mark_gone("u1")
