--- a/src/pepperstep/coordination/autoscaler.py
+++ b/src/pepperstep/coordination/autoscaler.py
@@ -1,4 +1,4 @@
-"""The loop that keeps a service's upstreams at what the plan says."""
+"""The control loop that orders a service's upstreams according to the plan."""
 
 from collections import deque
 from collections.abc import Callable
@@ -26,19 +26,20 @@
 __all__ = ["Autoscaler"]
 
 _POLL_SECONDS = 0.5
-# The demand is the highest mean of so long, in seconds: upstreams take 4 s to
-# start, and a burst that comes back shall find them.
+# Window over which the peak and mean demand are taken, in seconds. Upstreams take 4 s
+# to start, and shall be there when a burst returns.
 _DEMAND_WINDOW_SECONDS = 10.0
-# Time after its start until a host plans, in seconds: until then it may not know
-# what stands.
+# Time after a host's start until it plans, in seconds. Before, it may not know all
+# running upstreams.
 _DISCOVERY_SECONDS = 1.5
-# The same where no upstream is known: they announce themselves once in 1.2 s. After
-# it none is there, as when all zones were taken back.
+# Time after a host's start until it plans for a service without known upstreams, in
+# seconds. Upstreams announce themselves every 1.2 s, so after it there are none, for
+# example because all zones were reclaimed.
 _EMPTY_DISCOVERY_SECONDS = 5.0
 
 
 class Autoscaler:
-    """Plans and orders while this host holds the duty."""
+    """Plans and orders upstreams while this host holds the leader lease."""
 
     def __init__(
         self,
@@ -51,7 +52,7 @@
         timers: Timers,
         is_trial: Callable[[Announcement], bool] = lambda upstream: False,
     ):
-        self._duty = leader_lease
+        self._leader_lease = leader_lease
         self._orders = orders
         self._tables = tables
         self._entries = entries
@@ -59,30 +60,31 @@
         self._zones = zones
         self._timers = timers
         self._is_trial = is_trial
-        # By service.
+        # Order state and latest logged plan by service.
         self._states: dict[str, OrderState] = {}
         self._plans: dict[str, dict[str, ZoneCounts]] = {}
-        # Means of the work and when they were taken, by service.
+        # Demand samples with their times, by service.
         self._demands: dict[str, deque[tuple[float, float]]] = {}
         self._fence = 0
         self._started_at = timers.now()
 
     async def run(self) -> None:
-        """Order until cancelled."""
+        """Plan and order until cancelled."""
         async for now in self._timers.subscribe(_POLL_SECONDS):
-            holder = self._duty.holder()
+            holder = self._leader_lease.holder()
             if holder is not None and holder.fence != self._fence:
                 self._reset(holder)
             for service in self._tables.current.services.values():
                 if service.scaling is None:
                     continue
-                # Known to all control hosts, so that a new holder can act at once.
+                # Demand is sampled on all control hosts, so that a new holder can order
+                # at once.
                 demand = self._record_demand(service.name, now)
                 if holder is not None:
                     await self._reconcile(service, service.scaling, demand, holder, now)
 
     def _reset(self, holder: LeaseHolder) -> None:
-        """Start anew: what an earlier holder has ordered isn't known here."""
+        """Drop all state: orders of an earlier holder are unknown here."""
         self._fence = holder.fence
         self._states.clear()
         self._plans.clear()
@@ -105,7 +107,7 @@
             return
         plan = self._plan(service, demand, bounds, running)
         await self._order(service.name, plan, running, holder, True)
-        # Steady ones make up for what was refused just now.
+        # Steady upstreams replace the reclaimable ones that were refused just above.
         plan = self._plan(service, demand, bounds, running)
         await self._order(service.name, plan, running, holder, False)
         self._log_plan(service.name, plan, running, demand)
@@ -145,13 +147,13 @@
     def _count_running(
         self, service: str, bounds: ScalingBounds
     ) -> dict[str, ZoneCounts]:
-        """Return the upstreams that take work, by the zones that may have some."""
+        """Return the running upstreams of the zones that may have some."""
         present = self._zones()
         zones = tuple(bounds.zone_prices) or present
         counts = {(zone, kind): 0 for zone in zones for kind in (True, False)}
         for each in self._catalog.working(service):
             if self._is_trial(each):
-                # It comes beside those that carry the work.
+                # Trial upstreams run in addition to those that carry the work.
                 continue
             key = (each.zone, each.is_reclaimable)
             counts[key] = counts.get(key, 0) + 1
@@ -196,7 +198,7 @@
         holder: LeaseHolder,
         is_reclaimable: bool,
     ) -> None:
-        """Order one kind of upstreams in all zones where that is due."""
+        """Send the due orders for one kind of upstreams, for all zones."""
         state = self._states[service]
         for zone, counts in plan.items():
             planned = counts.of(is_reclaimable)
--- a/src/pepperstep/coordination/entry_host_catalog.py
+++ b/src/pepperstep/coordination/entry_host_catalog.py
@@ -1,4 +1,4 @@
-"""All entry hosts that a control host knows of, by what they report."""
+"""The entry hosts that a control host knows from their reports."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
@@ -12,52 +12,55 @@
 
 __all__ = ["EntryHostCatalog"]
 
-# Entry hosts ask twice a second; one that missed two rounds is told of to callers
-# no longer. In seconds. Callers keep an address for another 1.5 s or more, and
-# what they send to a host without power meanwhile is lost.
+# Time without a report after which an entry host is dropped from the directory, in
+# seconds. Entry hosts report twice a second, so this is two missed rounds. Callers
+# cache an address for another 1.5 s or more, and requests sent to a host without power
+# meanwhile are lost.
 _SILENCE_SECONDS = 1.1
-# Time after which a silent entry host isn't counted among those that share
-# quotas and budgets, in seconds: longer than any of their windows.
+# Time without a report after which an entry host no longer counts in the sharing of
+# quotas and budgets, in seconds: longer than any quota or budget window.
 _QUOTA_SHARE_SECONDS = 15.0
-# Time after a start for which as many entry hosts are counted as were known
-# before it, in seconds: they come back within it, and longer than a window of
-# quotas makes the few that don't unimportant.
+# Time after this host's start during which at least the entry hosts known before it are
+# counted, in seconds. Entry hosts reconnect within it. It's longer than a quota window,
+# so a few that don't return make no difference.
 _EXPECTED_COUNT_SECONDS = 10.0
-# Time after a start in which it's found out that all hosts have started anew, and
-# by how much entry hosts may have started sooner, in seconds. Entry hosts start
-# half a second sooner than control hosts.
+# Time after this host's start in which a restart of all hosts is detected, and how much
+# earlier entry hosts may have started, in seconds. Entry hosts start half a second
+# before control hosts.
 _RESTART_SECONDS = 3.0
 _RESTART_SLACK_SECONDS = 1.0
-# Time after which its counts are dropped, in seconds: usage is due before.
+# Time without a report after which an incarnation is removed, in seconds. Usage of the
+# windows it counted is reported before.
 _EVICTION_SECONDS = 60.0
-# Windows of the accounting that are kept for each entry host.
+# Usage windows that are kept for each entry host.
 _KEPT_WINDOWS = 12
-# Time between looks which entry hosts have gone silent, in seconds. One that says
-# itself that it's ready or not counts at once.
+# Age at which the snapshot of reachable entry hosts is renewed, in seconds. A report
+# that changes an entry host's readiness renews it at once.
 _SNAPSHOT_SECONDS = 0.1
 
 
 @dataclass(slots=True)
 class _Incarnation:
-    """One life of an entry host, as this host knows it."""
+    """One incarnation of an entry host and its latest report."""
 
     report: EntryReport
-    # Monotonic time of its latest report.
+    # Monotonic time of the latest report.
     heard_at: float
-    # Monotonic time of its start.
+    # Monotonic time of the entry host's start.
     started_at: float
-    # Whether this host tells other control hosts of it.
+    # Whether this host publishes the reports to other control hosts.
     is_published: bool = False
-    # Version of the book at the latest report to be told, 0 if there was none.
+    # Catalog version of the latest report to publish, 0 if there is none.
     version: int = 0
-    # The same for each workspace's cost and each window that such a report held.
+    # Catalog versions of the published admitted cost by workspace, and of the published
+    # usage windows by number.
     admitted_versions: dict[str, int] = field(default_factory=dict)
     window_versions: dict[int, int] = field(default_factory=dict)
 
     def mark_published(self, report: EntryReport, version: int) -> None:
-        """Take in a report that other control hosts get as the book's `version`.
+        """Record that `report` is published as the catalog's `version`.
 
-        The first one brings all that is known: they may not have it.
+        The first publication covers all known counts: other hosts may lack them.
         """
         if not self.is_published:
             report = self.report
@@ -71,7 +74,7 @@
         }
 
     def changed_since(self, version: int) -> EntryReport:
-        """Return the newest report with the counts told after `version` only."""
+        """Return the latest report with only the counts published after `version`."""
         report = self.report
         return replace(
             report,
@@ -90,35 +93,36 @@
 
 @dataclass(frozen=True, slots=True)
 class _Snapshot:
-    """Which entry hosts are there, as of one time."""
+    """The reachable entry hosts at one time."""
 
     at: float
     count: int
-    # The newest reports of those that callers may use, and their zones.
+    # Latest reports of the entry hosts that callers may use, and their zones.
     ready: list[EntryReport]
     zones: frozenset[str]
-    # Where callers connect, by their zone; "" for zones without an entry host.
+    # Cached directories by callers' zone; "" for zones without an entry host.
     directories: dict[str, Directory] = field(default_factory=dict)
 
 
 class EntryHostCatalog:
-    """Lives of entry hosts, with what each has counted.
+    """Incarnations of entry hosts and the counts that each has reported.
 
-    `version` grows with each report of an entry host that has this host as its source.
-    Other control hosts are told of these alone, and what changed since the version that
-    they have. So each fact is told by one host, what control hosts exchange grows with
-    what entry hosts count, and a question costs the same at any number of them.
+    One control host, the publisher, passes each entry host's reports on to the other
+    control hosts; `version` grows with each report published. Another control host is
+    sent only what changed since the version it has. So each change is sent once, the
+    traffic grows with the entry hosts' counts only, and a request costs the same
+    whatever the number of control hosts.
     """
 
     def __init__(self, now: Callable[[], float]):
         self._now = now
-        # Lives by host, the latest start last: counts of an ended life stay.
+        # Incarnations by host, latest start last. Ended ones keep their counts.
         self._incarnations: dict[str, list[_Incarnation]] = {}
-        # Cost that all lives have admitted, by workspace.
+        # Admitted cost summed over all incarnations, by workspace.
         self._admitted: dict[str, int] = {}
-        # Entry hosts that were in contact when that was last looked at.
+        # Entry hosts in contact at the latest call of `log_contact_changes`.
         self._connected: set[str] = set()
-        # Entry hosts that were known before this host's start.
+        # Number of entry hosts known before this host's start.
         self._expected = 0
         self._started_at = now()
         self._snapshot: _Snapshot | None = None
@@ -126,7 +130,7 @@
 
     @property
     def count(self) -> int:
-        """Number of entry hosts that share what is allowed."""
+        """Number of entry hosts that share quotas and budgets."""
         heard = self._current_snapshot().count
         if self._now() - self._started_at < _EXPECTED_COUNT_SECONDS:
             return max(heard, self._expected)
@@ -134,9 +138,9 @@
 
     @property
     def has_all_restarted(self) -> bool:
-        """Whether all entry hosts known before this host's start have started anew.
+        """Whether all entry hosts known before this host's start have restarted too.
 
-        Then nothing was admitted since the lives before ended.
+        Then nothing has been admitted since their previous incarnations ended.
         """
         if self._now() - self._started_at > _RESTART_SECONDS:
             return False
@@ -148,13 +152,13 @@
         )
 
     def record_relayed(self, report: EntryReport, age: float = 0.0) -> None:
-        """Take in a report that another control host got `age` seconds ago."""
+        """Merge a report that another control host received `age` seconds ago."""
         self._merge_report(report, age)
 
     def record(self, report: EntryReport, is_publisher: bool) -> None:
-        """Take in a report that has just come from the entry host itself.
+        """Merge a report received from the entry host itself.
 
-        `is_publisher` says whether this host tells the other control hosts.
+        `is_publisher` says whether this host passes it on to other control hosts.
         """
         state = self._merge_report(report, 0.0)
         if not is_publisher:
@@ -164,15 +168,15 @@
         state.mark_published(report, self.version)
 
     def expect(self, count: int) -> None:
-        """Count at least so many entry hosts in the next seconds."""
+        """Count at least `count` entry hosts for a while after this host's start."""
         self._expected = count
 
     def ready(self) -> list[EntryReport]:
-        """Return the newest reports of entry hosts that callers may use."""
+        """Return the latest reports of entry hosts that callers may use."""
         return self._current_snapshot().ready
 
     def directory(self, zone: str) -> Directory:
-        """Return where callers of an availability zone connect."""
+        """Return the directory for callers in an availability zone."""
         snapshot = self._current_snapshot()
         known_zone = zone if zone in snapshot.zones else ""
         directory = snapshot.directories.get(known_zone)
@@ -182,22 +186,22 @@
         return directory
 
     def log_contact_changes(self) -> None:
-        """Log the entry hosts that were lost or found since the last call."""
+        """Log the entry hosts that lost or regained contact since the last call."""
         limit = self._now() - _SILENCE_SECONDS
         newest = {state.report.host: state for state in self._latest_incarnations()}
-        now = {name for name, state in newest.items() if state.heard_at >= limit}
-        for name in sorted(now ^ self._connected):
+        connected = {name for name, state in newest.items() if state.heard_at >= limit}
+        for name in sorted(connected ^ self._connected):
             if name not in newest:
                 continue
             report = newest[name].report
             event = EntryContact(
-                name, report.incarnation, report.zone, name in now, len(now)
+                name, report.incarnation, report.zone, name in connected, len(connected)
             )
             logging.info("entries: %s", event)
-        self._connected = now
+        self._connected = connected
 
     def counts_of(self, window: int) -> dict[str, int]:
-        """Return the requests that began to run in a window, by workspace."""
+        """Return the requests that began to run in a usage window, by workspace."""
         totals: dict[str, int] = {}
         for state in self._all_incarnations():
             for name, count in state.report.windows.get(window, {}).items():
@@ -205,11 +209,11 @@
         return totals
 
     def count_reporting_incarnations(self, window: int) -> int:
-        """Return how many lives of entry hosts have counted requests in a window."""
+        """Return how many incarnations counted requests in a usage window."""
         return sum(window in state.report.windows for state in self._all_incarnations())
 
     def work_of(self, service: str) -> ServiceWork:
-        """Return the work that all entry hosts give a service's upstreams."""
+        """Return the work that all entry hosts send to a service's upstreams."""
         limit = self._now() - _SILENCE_SECONDS
         service_works = [
             state.report.service_works.get(service, ServiceWork())
@@ -222,7 +226,7 @@
         )
 
     def messages_since(self, version: int) -> list[pb.EntryState]:
-        """Return what entry hosts have told this host after a version of the book."""
+        """Return the reports that this host published after `version`."""
         self._evict_silent()
         now = self._now()
         return [
@@ -232,7 +236,7 @@
         ]
 
     def admitted_elsewhere(self, host: str) -> dict[str, int]:
-        """Return the cost that all but one entry host have admitted, by workspace."""
+        """Return the cost admitted by all entry hosts but `host`, by workspace."""
         totals = dict(self._admitted)
         for state in self._incarnations.get(host, ()):
             for workspace, count in state.report.admitted.items():
@@ -264,7 +268,7 @@
         return None
 
     def _add(self, report: EntryReport, heard_at: float) -> _Incarnation:
-        # Lives are told apart by this host's clock: theirs may have jumped between.
+        # Starts are ordered by this host's clock, as an entry host's may have jumped.
         state = _Incarnation(report, heard_at, heard_at - report.uptime)
         incarnations = self._incarnations.setdefault(report.host, [])
         incarnations.append(state)
@@ -273,7 +277,7 @@
         return state
 
     def _latest_incarnations(self) -> list[_Incarnation]:
-        """Return each entry host's latest life."""
+        """Return each entry host's latest incarnation."""
         return [incarnations[-1] for incarnations in self._incarnations.values()]
 
     def _all_incarnations(self) -> list[_Incarnation]:
@@ -322,14 +326,14 @@
 
 
 def _have_same_incarnations(one: list[EntryReport], other: list[EntryReport]) -> bool:
-    """Whether two lists have the same lives of entry hosts."""
+    """Whether two lists name the same incarnations of entry hosts."""
     return [(each.host, each.incarnation) for each in one] == [
         (each.host, each.incarnation) for each in other
     ]
 
 
 def _merge(known: EntryReport, report: EntryReport, is_newer: bool) -> EntryReport:
-    """Return the newer of two reports of one life, with the higher of each count."""
+    """Merge two reports of one incarnation: newer facts, highest counts."""
     windows = known.windows
     if report.windows:
         windows = dict(windows)
--- a/src/pepperstep/coordination/order_state.py
+++ b/src/pepperstep/coordination/order_state.py
@@ -1,4 +1,4 @@
-"""What the holder of the duty has ordered for a service, and what became of it."""
+"""The orders sent for a service's upstreams and their outcomes."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -7,53 +7,54 @@
 
 __all__ = ["OrderState"]
 
-# An order whose effect isn't seen is sent again after so long, in seconds: an
-# older order that was carried out late may have undone it.
+# Time after which an order without visible effect is sent again, in seconds: an older
+# order that was executed late may have undone it.
 _RESEND_SECONDS = 5.0
 # Pause after a zone has refused reclaimable upstreams, in seconds.
 _EXHAUSTED_PAUSE_SECONDS = 2.0
-# Time for which a zone counts as without them after that pause, in seconds: until
-# it was asked again, in the next round at the latest.
+# Time after the pause for which the zone still counts as exhausted, in seconds. By then
+# it has been asked again, in the next round at the latest.
 _EXHAUSTED_SLACK_SECONDS = 1.5
-# Time after its start in which a holder finds out what was lost before, in seconds.
+# Time after its start in which a holder discovers earlier losses, in seconds.
 _DISCOVERY_SECONDS = 5.0
-# Fewer upstreams are ordered only once fewer were enough for so long.
+# Time for which fewer upstreams must suffice before fewer are ordered, in seconds.
 _SCALE_DOWN_SECONDS = 15.0
-# The same for steady ones, which cost five times as much.
+# Time for which fewer steady upstreams must suffice before fewer are ordered, in
+# seconds. They cost five times as much as reclaimable ones.
 _SCALE_DOWN_STEADY_SECONDS = 2.0
 
 
 @dataclass(slots=True)
 class _Sent:
-    """The newest order for one zone and kind."""
+    """The latest order for one zone and kind."""
 
     count: int
     sent_at: float
-    # Whether the platform has taken it.
+    # Whether the platform has accepted it.
     is_accepted: bool = False
 
 
 class OrderState:
-    """The orders of one service, each for a zone and a kind."""
+    """The orders of one service by zone and kind."""
 
     def __init__(self, now: Callable[[], float]):
         self._now = now
         self._started_at = now()
         self._sent: dict[tuple[str, bool], _Sent] = {}
-        # Zones without reclaimable upstreams, and when they are asked again.
+        # Time until which each zone without reclaimable upstreams isn't asked.
         self._exhausted_until: dict[str, float] = {}
-        # When each of them was first found without any, where that was seen to come.
+        # Time at which each such zone became exhausted, if that was observed.
         self._exhausted_since: dict[str, float] = {}
-        # Time since which fewer were enough.
+        # Time since which fewer upstreams suffice, by zone and kind.
         self._lower_since: dict[tuple[str, bool], float] = {}
-        # Whether nothing was asked for since the whole system's start. Then fewer are
-        # ordered at once, also where others may stand that aren't heard of yet: they
-        # cost their full price meanwhile.
+        # Whether there has been no demand since the system's start. Then fewer
+        # upstreams are ordered at once, also where unannounced ones may run, as all of
+        # them cost their full price meanwhile.
         self.is_unused = False
 
     @property
     def exhausted_zones(self) -> frozenset[str]:
-        """The zones that give out no reclaimable upstreams."""
+        """The zones that provide no reclaimable upstreams."""
         now = self._now()
         return frozenset(
             zone
@@ -62,9 +63,9 @@
         )
 
     def are_losses_clustered(self, seconds: float) -> bool:
-        """Whether two zones were found without any within so long of each other.
+        """Whether two zones became exhausted within `seconds` of each other.
 
-        Then the next one may be lost before others have started.
+        Then the next zone may be lost before replacements have started.
         """
         times = sorted(
             at
@@ -75,7 +76,7 @@
         return any(later - earlier <= seconds for earlier, later in pairs)
 
     def expected_count(self, zone: str, is_reclaimable: bool, running: int) -> int:
-        """Return how many stand, or were ordered and have yet to start."""
+        """Return how many run or have been ordered recently."""
         sent = self._sent.get((zone, is_reclaimable))
         if sent is None or not sent.is_accepted:
             return running
@@ -92,21 +93,21 @@
         return UpstreamOrder(service, zone, is_reclaimable, count)
 
     def record_sent(self, order: UpstreamOrder) -> None:
-        """Take in that an order is on its way."""
+        """Record that an order is being sent."""
         key = (order.zone, order.is_reclaimable)
         self._sent[key] = _Sent(order.count, self._now())
 
     def record_accepted(self, order: UpstreamOrder) -> None:
-        """Take in that the platform has taken the order sent last."""
+        """Record that the platform has accepted the latest order."""
         self._sent[order.zone, order.is_reclaimable].is_accepted = True
         if order.is_reclaimable:
             self._exhausted_until.pop(order.zone, None)
 
     def mark_exhausted(self, zone: str) -> None:
-        """Take in that a zone gives out no reclaimable upstreams now."""
+        """Record that a zone provides no reclaimable upstreams."""
         now = self._now()
         if now - self._started_at < _DISCOVERY_SECONDS:
-            # A new holder finds at once what was lost one after the other.
+            # A new holder discovers at once zones that were lost one after the other.
             self._exhausted_since.pop(zone, None)
         elif zone not in self.exhausted_zones:
             self._exhausted_since[zone] = now
@@ -115,10 +116,10 @@
     def _delay_decrease(
         self, zone: str, is_reclaimable: bool, planned: int, running: int
     ) -> int:
-        """Return what is planned, or what is there until less was enough for a while.
+        """Return the planned count, but decrease only after a delay.
 
-        Those that were ordered and have yet to start are there: to cancel them and
-        to order them again a second later costs their whole start.
+        Upstreams that were ordered and are starting count as present: cancelling them
+        and ordering them again a second later costs their whole start time.
         """
         key = (zone, is_reclaimable)
         present = self.expected_count(zone, is_reclaimable, running)
--- a/src/pepperstep/coordination/scaling.py
+++ b/src/pepperstep/coordination/scaling.py
@@ -1,9 +1,9 @@
-"""How many upstreams of each kind a service shall have, and where.
+"""Plans how many upstreams of each kind a service needs in each zone.
 
-Reclaimable upstreams cost a fraction of the others, and all of a zone may be
-taken back at once. So the work is carried by reclaimable ones in all zones, as
-many as still suffice without the largest zone. Steady ones, which aren't
-reclaimable, stand in for those of a zone that can't be had.
+Reclaimable upstreams cost a fraction of the steady ones, but the cloud may reclaim all
+of a zone at once. So reclaimable upstreams in all zones carry the work, as many as
+suffice without the largest zone. Steady upstreams, which can't be reclaimed, replace
+those of a zone that provides none.
 """
 
 import math
@@ -15,32 +15,31 @@
 
 __all__ = ["Demand", "ZoneCounts", "plan_counts", "required_upstreams"]
 
-# Part of its time that an upstream reads prompts without making callers wait, by the
-# speed that entry hosts see.
+# Share of its time in which an upstream can read prompts, at the speed that entry hosts
+# observe, without making callers wait.
 _MAX_READING_SHARE = 0.6
-# Requests that one upstream works on at the same time; binds for services without
-# prompts.
+# Requests that one upstream handles concurrently. Limits services without prompts.
 _MAX_REQUESTS_PER_UPSTREAM = 15.0
-# Reclaimable upstreams of a zone, at least, as a share of the most there may be. A
-# burst comes faster than upstreams start, and each costs a fifth of a steady one.
+# Least number of reclaimable upstreams in a zone, as a share of its maximum. A burst
+# comes faster than upstreams start, and each costs a fifth of a steady one.
 _MIN_RECLAIMABLE_SHARE = 0.5
-# Upstreams of both kinds, at least, over all zones: one can be lost any time.
+# Least number of upstreams of both kinds over all zones: one may be lost at any time.
 _MIN_UPSTREAMS = 3
-# Part of the work that steady upstreams can take on while reclaimable ones stand
-# in a single zone. All of it costs twice as much, for a third zone's loss that
-# is rare where losses don't come close to each other.
+# Share of the work that steady upstreams can carry while reclaimable ones run in a
+# single zone. The whole work would cost twice as much, for the loss of a third zone,
+# which is rare unless losses are clustered.
 _SINGLE_ZONE_SHARE = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """Upstreams that a service's work needs."""
+    """The number of upstreams that a service's work needs, as a fraction."""
 
-    # Most of late.
+    # Highest of the demand window.
     peak: float
-    # At present.
+    # Current.
     present: float
-    # Mean of late.
+    # Mean of the demand window.
     mean: float
 
 
@@ -57,7 +56,7 @@
 
 
 def required_upstreams(work: ServiceWork) -> float:
-    """Return how many upstreams a service's work needs."""
+    """Return how many upstreams a service's work needs, as a fraction."""
     return max(
         work.reading / _MAX_READING_SHARE, work.in_flight / _MAX_REQUESTS_PER_UPSTREAM
     )
@@ -72,35 +71,34 @@
     expected: Mapping[str, int],
     are_losses_clustered: bool = False,
 ) -> dict[str, ZoneCounts]:
-    """Return what each zone shall have.
-
-    `expected` has the reclaimable upstreams that stand, or were ordered and start.
-    Zones of `exhausted_zones` give out no others. Where one does, none is counted on that
-    wasn't given out yet.
-    Once there are any, the next zone may be lost soon, so all but the largest
-    have enough for the peak. An upstream takes longer to start than a zone's
-    upstreams take to leave, so this is ordered as soon as a zone is dry, and not
-    when the next one is lost.
-
-    Steady ones, which cost five times as much, make up for what reclaimable ones
-    can't carry, the cheapest zones first, and stay until those stand. They follow
-    the mean demand, and without dry zones the present one.
+    """Return the planned upstreams of each zone.
+
+    `expected` counts the reclaimable upstreams that run or have been ordered.
+    `exhausted_zones` provide no further ones. While there are any, the plan counts
+    only on expected upstreams, and the next zone may be lost soon. So the zones but
+    the largest must carry the peak. An upstream takes longer to start than a zone's
+    upstreams take to leave, so this is planned as soon as a zone is exhausted and not
+    when the next zone is lost.
+
+    Steady upstreams cost five times as much. They carry what reclaimable ones can't,
+    in the cheapest zones first, and stay until reclaimable ones run. Their number
+    follows the mean demand, or the present demand if no zone is exhausted.
     """
     needed = max(math.ceil(demand.peak), _MIN_UPSTREAMS)
     needed_now = max(math.ceil(demand.present), _MIN_UPSTREAMS)
     minimum = math.ceil(_MIN_RECLAIMABLE_SHARE * bounds.max_count)
-    # Zones with reclaimable ones. Asked as many in dry zones too, which is how it's
-    # found out that they give out some again.
+    # Zones with reclaimable upstreams share the work. The same number is ordered in
+    # exhausted zones, which shows when they provide upstreams again.
     sharing_zones = sum(
         zone not in exhausted_zones or running[zone].reclaimable > 0 for zone in zones
     )
     count = min(max(_needed_per_zone(needed, sharing_zones), minimum), bounds.max_count)
     reclaimable = dict.fromkeys(zones, count)
-    # What steady ones make up for. They follow the mean and not the peak, which would
-    # cost more and bring no more requests in time.
+    # Steady upstreams follow the mean: following the peak costs more and answers no
+    # more requests in time.
     needed_on_average = max(math.ceil(demand.mean), _MIN_UPSTREAMS)
     if are_losses_clustered:
-        # What upstreams kept in memory has to be read again besides.
+        # Caches of lost upstreams are rebuilt too, which is additional work.
         needed_on_average = needed
     missing = _still_missing(needed_on_average, running)
     if exhausted_zones:
@@ -117,7 +115,7 @@
 def _missing_after_next_loss(
     needed: int, expected_counts: list[int], is_next_loss_near: bool
 ) -> int:
-    """Return how many are lacking once the zone with the most of them is lost."""
+    """Return how many upstreams are missing once the largest zone is lost."""
     remaining = sum(expected_counts) - max(expected_counts)
     if remaining or is_next_loss_near:
         return needed - remaining
@@ -126,7 +124,7 @@
 
 
 def _still_missing(needed: int, running: Mapping[str, ZoneCounts]) -> int:
-    """Return how many steady ones can't be given back yet."""
+    """Return how many steady upstreams are still needed."""
     reclaimable = sum(each.reclaimable for each in running.values())
     steady = sum(each.steady for each in running.values())
     return min(needed - reclaimable, steady)
@@ -139,9 +137,9 @@
     reclaimable: Mapping[str, int],
     running: Mapping[str, ZoneCounts],
 ) -> dict[str, ZoneCounts]:
-    """Spread steady upstreams over the zones that have room, the cheapest first.
+    """Distribute steady upstreams over the zones with capacity, cheapest first.
 
-    Those that stand are kept before others are ordered, which take a while to start.
+    Running ones are kept before others are ordered, as those take time to start.
     """
     zones_by_price = sorted(zones, key=lambda name: (_price(bounds, name), name))
     capacities = {zone: bounds.max_count - running[zone].reclaimable for zone in zones}
@@ -167,7 +165,7 @@
 
 
 def _needed_per_zone(needed: int, zones: int) -> int:
-    """Return how many each zone needs so that one zone less still suffices."""
+    """Return how many each zone needs so that all zones but one suffice."""
     if zones < 2:
         return needed
     return math.ceil(needed / (zones - 1))
--- a/src/pepperstep/coordination/silence.py
+++ b/src/pepperstep/coordination/silence.py
@@ -1,8 +1,8 @@
-"""Upstreams of which nothing is heard: who may call them silent, and when.
+"""Detection of silent upstreams, which no longer announce themselves.
 
-That a host hears nothing may be its own fault as well as the upstream's. So a
-control host judges only while it would hear, and an entry host believes no single
-control host. Each judgement ends with the upstream's next announcement.
+Missing announcements may be the fault of the host that misses them. So a control host
+marks upstreams silent only while it has a quorum, and an entry host doesn't rely on a
+single control host. An upstream's next announcement clears the mark.
 """
 
 from collections.abc import Callable
@@ -15,29 +15,30 @@
 
 __all__ = ["SilenceDetector", "SilenceVotes"]
 
-# Upstreams announce themselves every 1.2 s. One that is silent for so long has
-# ended, or is cut off from all control hosts; requests that reach it still are
-# answered, so this is long. In seconds.
+# Time without an announcement after which an upstream is silent, in seconds. Upstreams
+# announce themselves every 1.2 s. This is long because a silent upstream may only be
+# cut off from all control hosts and still answer requests.
 _SILENCE_SECONDS = 20.0
-# The same for an upstream whose latest announcement came to a control host that's out
-# of reach, and may hear of it still, in seconds: regions lose each other for minutes.
+# Time without an announcement after which an upstream is silent if its latest one went
+# to an unreachable control host, which may still receive them, in seconds: regions lose
+# contact for minutes.
 _UNREACHABLE_SILENCE_SECONDS = 300.0
-# Time between two looks after which a host takes itself for frozen meanwhile, in
-# seconds: it looks once a second, and a busy one is late by less than one.
+# Time between two checks above which the host was frozen, in seconds: checks run once a
+# second, and a busy host is late by less than one.
 _MAX_CHECK_GAP_SECONDS = 3.0
-# By whose word an upstream is silent, for the log.
+# Sources of a mark, for the log.
 _SOURCE_DETECTOR = "silence"
 _SOURCE_VOTES = "control hosts"
 
 
 class SilenceDetector:
-    """A control host's own judgement.
+    """Marks upstreams silent on a control host.
 
-    A host that was cut off from most others, or was frozen, has missed what they
-    hear. It judges nothing until it has been in contact for the whole time: without
-    that, one host that was cut off for 20 s took all upstreams out of use that
-    announced themselves at the others, and two in three requests of the next minute
-    failed. What a control host heard last that's out of reach it judges much later.
+    A host that was frozen or had no quorum has missed announcements. It marks nothing
+    until it has had a quorum for the whole silence time. Without this rule, a host that
+    was cut off for 20 s marked all upstreams that announced themselves at the others,
+    and two in three requests of the next minute failed. Upstreams whose latest
+    announcement went to an unreachable control host are marked much later.
     """
 
     def __init__(
@@ -48,22 +49,22 @@
     ):
         self._catalog = catalog
         self._now = now
-        self._contact = quorum_monitor
-        # Monotonic time since which this host hears most others.
+        self._quorum_monitor = quorum_monitor
+        # Monotonic time since which this host has a quorum.
         self._quorum_since = now()
         self._checked_at = now()
 
     def check(self) -> None:
-        """Let the upstreams count as silent that have been so for too long."""
+        """Mark the upstreams that have been silent for too long."""
         now = self._now()
         was_frozen = now - self._checked_at > _MAX_CHECK_GAP_SECONDS
         self._checked_at = now
-        if was_frozen or not self._contact.has_quorum():
+        if was_frozen or not self._quorum_monitor.has_quorum():
             self._quorum_since = now
             return
         if now - self._quorum_since < _SILENCE_SECONDS:
             return
-        reachable = self._contact.reachable()
+        reachable = self._quorum_monitor.reachable()
 
         def limit(heard_by: str) -> float:
             is_reachable = heard_by in reachable
@@ -76,20 +77,20 @@
 
 @dataclass(slots=True)
 class _Vote:
-    """What one life of a control host has told."""
+    """The state received from one incarnation of a control host."""
 
     epoch: int
     answered_at: float
-    # Incarnations of the upstreams that it calls silent, by id. Kept while it doesn't
-    # answer: its next answer tells only what has changed.
+    # Incarnations of its silent upstreams by id. Kept while it doesn't answer, as its
+    # next reply holds only changes.
     silent: dict[str, int] = field(default_factory=dict)
 
 
 class SilenceVotes:
-    """An entry host's judgement: what all control hosts that it hears call silent.
+    """Marks upstreams silent on an entry host if all reachable control hosts do.
 
-    Of two that are cut off from each other, each hears only the upstreams that
-    announce themselves there.
+    If two control hosts are cut off from each other, each hears only the upstreams that
+    announce themselves at it.
     """
 
     def __init__(self, catalog: UpstreamCatalog, now: Callable[[], float]):
@@ -98,7 +99,7 @@
         self._votes: dict[str, _Vote] = {}
 
     def record_reply(self, control_host: str, reply: pb.SyncReply) -> None:
-        """Take in what a control host tells."""
+        """Record which upstreams a control host's reply marks as silent."""
         vote = self._votes.get(control_host)
         if vote is None or vote.epoch != reply.registry_epoch:
             vote = self._votes[control_host] = _Vote(reply.registry_epoch, self._now())
@@ -111,14 +112,14 @@
         self._count_votes()
 
     def forget(self, upstream: UpstreamKey) -> None:
-        """Drop what was told of an upstream that is forgotten."""
+        """Discard the votes on an upstream that was removed."""
         name, incarnation = upstream
         for vote in self._votes.values():
             if vote.silent.get(name) == incarnation:
                 del vote.silent[name]
 
     def _count_votes(self) -> None:
-        """Count the votes of those that would have heard of an upstream lately."""
+        """Count the votes of control hosts that have answered recently."""
         limit = self._now() - _SILENCE_SECONDS
         first, *others = (
             vote.silent.items()
--- a/src/pepperstep/coordination/sync_client.py
+++ b/src/pepperstep/coordination/sync_client.py
@@ -1,9 +1,9 @@
-"""Rounds in which a host asks the control hosts for all that is new.
+"""Polls the control hosts for changes and reports this host's state to them.
 
-Each control host is asked by a task of its own. A host takes part only if it
-can be reached; what was learned stays when none can. Control hosts ask all others.
-An entry host asks a few, which tell it what the others know; so the questions to
-one control host don't grow with the number of control hosts.
+Each control host is polled by its own task. Known state is kept while no control host
+answers. Control hosts poll all other control hosts. An entry host polls a few of them,
+which relay what the others know, so the requests to a control host don't grow with the
+number of control hosts.
 """
 
 from collections.abc import Callable, Iterable
@@ -29,68 +29,71 @@
 
 @dataclass(frozen=True, slots=True)
 class SyncSettings:
-    """Times in seconds."""
+    """Timing in seconds, and the number of control hosts to poll."""
 
-    # Longest time that an answer waits for something new: so a change is told at
-    # once, and an idle host asks twice a second. The directory needs each host's
-    # state this often.
+    # How long a control host holds a request open until something changes. A change is
+    # sent at once, and an idle host polls twice a second, which is how often the
+    # directory needs each host's state.
     wait: float = 0.5
-    # The same while counts have to be new, because a quota is nearly spent.
+    # Replaces `wait` while a quota is nearly spent and counts must be recent.
     short_wait: float = 0.2
-    # Between an answer and the next question, so that changes which come one
-    # by one are told together.
+    # Between a reply and the next request, so that changes in quick succession are sent
+    # together.
     pause: float = 0.05
-    # One question and its answer, without the wait.
+    # For a request and its reply, in addition to `wait`.
     timeout: float = 0.6
-    # Between questions to a host that doesn't answer, at first and at most.
+    # First and longest pause between requests to a host that doesn't answer.
     first_backoff: float = 0.15
     backoff: float = 1.0
-    # Time after its start for which a host asks as often as at first: where all
-    # have lost power, control hosts start half a second after entry hosts.
+    # Time after the start during which the pause stays at `first_backoff`: after a
+    # power loss of all hosts, control hosts start half a second after entry hosts.
     startup: float = 3.0
-    # Time without an answer after which a control host counts as out of reach.
+    # Time without a reply after which a control host counts as unreachable.
     reach: float = 2.0
-    # Time until a control host that starts has heard of all entry hosts.
+    # Time after which a restarted control host has heard from all entry hosts.
     settling: float = 1.5
-    # Control hosts that an entry host asks at least, and most of the voters: what most
-    # voters know, one of those knows.
+    # Least number of control hosts that an entry host polls. It also polls a majority
+    # of the voters, so that one of them knows whatever a majority has stored.
     fanout: int = 3
-    # Time in which a control host has a new table from the log, mostly.
+    # Usual time until a new table reaches a control host through the log.
     log_delay: float = 0.3
-    # Between looks whether a control host that isn't asked is needed.
+    # Interval at which to check whether a control host that isn't polled is needed.
     idle_pause: float = 0.2
 
 
 @dataclass(slots=True)
 class _ControlHost:
-    """What this host has from one control host."""
+    """State received from one control host."""
 
     epoch: int = 0
     version: int = 0
     entries_version: int = 0
-    # This host's report that the control host has; None after a question without an
-    # answer, as it may have forgotten what it had.
+    # Latest report that the control host has; None after a request without a reply, as
+    # it may have lost its state.
     reported: EntryReport | None = None
     answered_at: float = float("-inf")
-    # Latest totals, and what brings them to this host's scale.
+    # Latest admitted totals, and the offsets that align them with this host's totals.
     totals: dict[str, int] = field(default_factory=dict)
     offsets: dict[str, int] = field(default_factory=dict)
-    # Time from which its totals are whole: a host that starts hears of the
-    # entry hosts' counts one after the other.
+    # Monotonic time from which the totals are complete: a control host that starts
+    # receives the entry hosts' counts one after the other.
     settled_at: float = float("inf")
-    # Whether the latest question had no answer.
+    # Whether the latest request had no reply.
     is_failing: bool = False
-    # Question that is under way.
+    # Scope of the request in flight.
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
-    # Its Unix time less this host's monotonic time, None before its first answer.
+    # Its Unix time minus this host's monotonic time, None before the first reply.
     wall_offset: float | None = None
-    # Entry hosts that it counts, and whether it hears most control hosts.
+    # Entry hosts that it counts, and whether it's in contact with most control hosts.
     entry_count: int = 0
     is_in_contact: bool = False
 
 
 class SyncClient:
-    """Rounds of one host; `report` gives an entry host's state, None on others."""
+    """Polls control hosts for one host.
+
+    `report` returns an entry host's state; it's None on control hosts.
+    """
 
     def __init__(
         self,
@@ -122,23 +125,24 @@
         self._wake = trio.Event()
         self._totals: dict[str, int] = {}
         self.entry_count = 1
-        # Where callers connect, as the latest answer told; for entry hosts.
+        # Directory for callers, from the latest reply; kept on entry hosts only.
         self.directory = Directory()
-        # Called with workspace and total, when the total has grown.
+        # Called with workspace and total when the cost admitted elsewhere has grown.
         self.on_admitted: Callable[[str, int], None] = lambda workspace, total: None
-        # Whether all hosts have started with this one, and what is called then.
+        # Whether all hosts have restarted together with this one, and the callback for
+        # it.
         self.has_seen_restart = False
         self.on_restart: Callable[[], None] = lambda: None
-        # Tells whether counts have to be new.
+        # Returns whether counts must be recent.
         self.needs_fresh_counts: Callable[[], bool] = lambda: False
-        # Gives the newest change of a roll-out that this host has, as its log position.
+        # Returns the log position of the latest roll-out change that this host has.
         self.rollouts_index: Callable[[], int] = lambda: 0
-        # Called with a control host, its answer, and the answer's age in seconds.
+        # Called with the control host, its reply and the reply's age in seconds.
         self.on_reply: ReplySubscriber = lambda name, reply, age: None
 
     @property
     def reached(self) -> list[str]:
-        """Control hosts that have answered lately."""
+        """Control hosts that have answered recently."""
         limit = self._timers.now() - self._settings.reach
         return sorted(
             name
@@ -148,7 +152,7 @@
 
     @property
     def silence(self) -> float:
-        """Seconds since any control host's latest answer."""
+        """Seconds since the latest reply of any control host."""
         latest = (
             control_host.answered_at for control_host in self._control_hosts.values()
         )
@@ -156,11 +160,11 @@
 
     @property
     def median_time(self) -> float:
-        """The Unix time by the middle of what hosts say.
+        """The median of the hosts' Unix times.
 
-        Others' clocks are kept against this host's monotonic time. So a jump of its
-        own clock is one vote at once, and no vote of the others', and no window of
-        the accounting is taken for over before it is.
+        Other hosts' clocks are kept as offsets from this host's monotonic time. So a
+        jump of this host's clock changes one vote only, and doesn't end a usage window
+        early.
         """
         now = self._timers.now()
         reported = (
@@ -170,11 +174,11 @@
         return now + _median(others, self._timers.wall() - now)
 
     def control_hosts(self) -> list[str]:
-        """Return all control hosts that this host knows of, itself excluded."""
+        """Return all known control hosts but this one."""
         return sorted(self._known)
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED) -> None:
-        """Ask until cancelled."""
+        """Poll until cancelled."""
         async with trio.open_nursery() as self._nursery:
             self._add_control_hosts(self._seeds)
             for name in self._seeds:
@@ -184,7 +188,7 @@
             await trio.sleep_forever()
 
     def sync_now(self) -> None:
-        """Begin a round at once, with this host's state as it is now."""
+        """Send this host's current state to the control hosts at once."""
         self._wake.set()
         self._wake = trio.Event()
         for control_host in self._control_hosts.values():
@@ -228,14 +232,14 @@
         self._fetcher.forget(name)
 
     def _is_target(self, name: str) -> bool:
-        """Whether this host asks a control host, or leaves it to others."""
+        """Whether this host polls a control host."""
         return self._report is None or name in self._targets()
 
     def _targets(self) -> list[str]:
-        """Return the control hosts that an entry host asks.
+        """Return the control hosts that an entry host polls.
 
-        Each host ranks them by hashes of its own, so that all are asked alike. One that
-        doesn't answer is asked on, and the next one besides.
+        Each host ranks them by rendezvous hashing, so that all are polled by equally
+        many. One that doesn't answer is still polled, and the next in rank is added.
         """
         targets: list[str] = []
         voter_majority = len(self._voters) // 2 + 1
@@ -246,7 +250,7 @@
     def _extend_targets(
         self, targets: list[str], names: Iterable[str], least: int
     ) -> None:
-        """Add control hosts until so many answer of those that are asked."""
+        """Add control hosts by rank until `least` of the targets answer."""
         for name in sorted(names, key=self._rank):
             answering = sum(
                 not self._control_hosts[each].is_failing for each in targets
@@ -257,10 +261,11 @@
                 targets.append(name)
 
     def _is_publisher(self, name: str) -> bool:
-        """Whether a control host is the one that tells the others of this host.
+        """Whether a control host shall publish this host's reports to the others.
 
-        It's the first that answers and hears most control hosts, so that one which
-        dies or is cut off is replaced; without any, all that are asked tell.
+        This is the first in rank that answers and is in contact with most control
+        hosts, so one that fails or is cut off is replaced. If there is none, all of
+        them publish.
         """
         ranked = sorted(self._control_hosts, key=self._rank)
         connected = [
@@ -299,7 +304,7 @@
                 report.changed_since(control_host.reported).to_message()
             )
         asked_at = self._timers.now()
-        # The first answer doesn't wait for news.
+        # A control host answers the first request at once.
         timeout = self._settings.timeout + (wait if control_host.epoch else 0.0)
         reply = None
         with trio.CancelScope() as control_host.scope:
@@ -309,7 +314,7 @@
                 control_host.reported = None
                 return False
         if reply is None:
-            # Something is to be told at once.
+            # `sync_now` cancelled the request to send newer state.
             return True
         control_host.answered_at = self._timers.now()
         is_same_epoch = control_host.epoch in (0, reply.registry_epoch)
@@ -324,13 +329,13 @@
     def _apply_reply(
         self, name: str, reply: pb.SyncReply, control_host: _ControlHost, age: float
     ) -> None:
-        # Before the table, whose quotas are shared by so many.
+        # The entry count comes first: the quotas of a new table are divided by it.
         self._update_entry_count(reply, control_host)
         self._fetcher.record_version(name, reply.table_version)
         self._update_directory(reply, control_host)
         if reply.has_all_restarted and not self.has_seen_restart:
             self.has_seen_restart = True
-            logging.info("sync: All hosts have started anew.")
+            logging.info("sync: All hosts have restarted.")
             self.on_restart()
         for message in reply.upstreams:
             announcement = Announcement.from_message(message)
@@ -351,10 +356,10 @@
     def _update_entry_count(
         self, reply: pb.SyncReply, control_host: _ControlHost
     ) -> None:
-        """Count as many entry hosts as any control host does that answers.
+        """Use the highest entry host count of all reachable control hosts.
 
-        One that's cut off counts fewer. By the latest answer alone, an entry host
-        beside it took the whole of what four hosts share.
+        A control host that is cut off counts fewer. When only the latest reply counted,
+        an entry host on its side of the cut used the whole quota of four hosts.
         """
         control_host.entry_count = reply.entry_count
         counts = (self._control_hosts[name].entry_count for name in self.reached)
@@ -363,10 +368,11 @@
     def _update_directory(
         self, reply: pb.SyncReply, control_host: _ControlHost
     ) -> None:
-        """Take in where callers connect.
+        """Update the callers' directory.
 
-        A control host that's cut off from most others may hear of few entry hosts;
-        it's believed where no other one answers.
+        A control host that is cut off from most others may know few entry hosts. Its
+        directory is used only if no reachable control host is in contact with most
+        others.
         """
         control_host.is_in_contact = reply.is_in_contact
         if not reply.HasField("directory"):
@@ -378,7 +384,7 @@
     def _update_totals(
         self, reply: pb.SyncReply, control_host: _ControlHost, is_new_epoch: bool
     ) -> None:
-        """Bring each control host's totals to one scale, and take the highest."""
+        """Align the control host's totals with this host's and keep the highest."""
         now = self._timers.now()
         if is_new_epoch:
             control_host.settled_at = now + self._settings.settling
@@ -407,6 +413,6 @@
 
 
 def _median(others: list[float], own: float) -> float:
-    """Return the middle vote; this host's own counts where that makes them odd."""
+    """Return the median vote; `own` counts only if it makes the votes odd."""
     votes = sorted(others if len(others) % 2 else [*others, own])
     return votes[len(votes) // 2]
--- a/src/pepperstep/coordination/sync_server.py
+++ b/src/pepperstep/coordination/sync_server.py
@@ -1,4 +1,4 @@
-"""A control host's part: what hosts ask of it, and what it gathers from them."""
+"""Answers the requests of a `SyncClient` and merges the state that hosts report."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -27,36 +27,36 @@
 
 __all__ = ["SyncServer"]
 
-# Longest time that a question waits for something new, in seconds.
+# Longest time that a request is held open until something changes, in seconds.
 _MAX_WAIT_SECONDS = 5.0
-# Time after a start until a control host has heard of all entry hosts, in seconds:
-# they ask twice a second, and those that back off once a second.
+# Time after a start until all entry hosts have reported to this control host, in
+# seconds: they poll twice a second, or once a second while they back off.
 _DIRECTORY_SETTLING_SECONDS = 1.5
-# How far an upstream's clock may be ahead of this host's, in seconds: clocks jump by
-# an hour in tests of them. A start that's told to be later than this would hide all
-# that its upstream says of itself afterwards.
+# Tolerated lead of an upstream's clock, in seconds: clocks may jump by an hour. An
+# incarnation from further in the future is refused, as it would hide all later
+# announcements of the upstream.
 _MAX_CLOCK_SKEW_SECONDS = 86_400.0
 
 
 class RolloutSource(Protocol):
-    """What a control host knows of roll-outs."""
+    """The roll-outs that a control host knows."""
 
     @property
     def index(self) -> int:
-        """Position in the log of the latest change."""
+        """Log position of the latest change."""
 
     def messages(self) -> list[RolloutRecord]:
         """Return the latest roll-out of each service."""
 
     def judge(self) -> str:
-        """Return the control host that judges, "" while none runs."""
+        """Return the control host that judges roll-outs, "" while there is none."""
 
     def subscribe(self, subscriber: Callable[[object], None]) -> None:
         """Call `subscriber` at each change."""
 
 
 class SyncServer:
-    """Answers hosts' questions and takes in their reports."""
+    """The control host's end of the synchronisation."""
 
     def __init__(
         self,
@@ -102,11 +102,12 @@
         peers.handle(pb.AnswerNotice, self._on_answer_notice)
 
     async def receive_announcement(self, announcement: Announcement) -> None:
-        """Take in what an upstream says of itself.
+        """Merge an upstream's announcement.
 
-        That it leaves has to bind all entry hosts once this returns, whoever restarts.
-        Raise `Failure` with `NO_QUORUM` else, and with `INVALID_REQUEST` for what
-        can't be an upstream's own words.
+        If it says that the upstream leaves, return once no entry host can send it
+        requests any more, whichever hosts restart. Raise `Failure` with `NO_QUORUM` if
+        that fails, and with `INVALID_REQUEST` for an announcement that can't be the
+        upstream's own.
         """
         self._validate(announcement)
         arrived_at = self._timers.now()
@@ -119,9 +120,10 @@
         await self._acknowledge(now, is_new, arrived_at)
 
     async def mark_gone(self, upstream: str, incarnation: int | None = None) -> None:
-        """Take in that an upstream ends; raise as `receive_announcement` does.
+        """Mark an upstream as gone, by default its latest known incarnation.
 
-        Without an incarnation, it's the latest that is known.
+        Return once no entry host can send it requests any more. Raise `Failure` with
+        `NO_QUORUM` if that fails.
         """
         arrived_at = self._timers.now()
         before = self._catalog.get(upstream)
@@ -132,7 +134,7 @@
             await self._acknowledge(now, is_new, arrived_at)
 
     def merge_reply(self, control_host: str, reply: pb.SyncReply, age: float) -> None:
-        """Take in another control host's answer that is `age` seconds old."""
+        """Merge another control host's reply that is `age` seconds old."""
         for message in reply.entries:
             self._entries.record_relayed(
                 EntryReport.from_message(message), age + message.age
@@ -143,7 +145,7 @@
                 self._catalog.mark_silent(key, age + message.age, control_host)
 
     def _validate(self, announcement: Announcement) -> None:
-        """Raise `Failure` for an announcement that another writer must have made."""
+        """Raise `Failure` for an announcement that can't be the upstream's own."""
         now = self._timers.wall()
         if announcement.incarnation / 1000 > now + _MAX_CLOCK_SKEW_SECONDS:
             raise Failure(Code.INVALID_REQUEST, "The upstream starts in the future.")
@@ -156,7 +158,7 @@
     async def _acknowledge(
         self, upstream: Announcement, is_new: bool, arrived_at: float
     ) -> None:
-        """Return once all hosts keep to it that an upstream leaves or ends."""
+        """Replicate that an upstream leaves or has ended, and log it."""
         known_by = await self._departures.replicate(upstream)
         event = LeavingAcknowledged(
             upstream=upstream.id,
@@ -219,7 +221,7 @@
         self._history.add(self._tables.document)
 
     async def _wait_changes(self, request: pb.SyncRequest) -> None:
-        """Return once there is something that the asker doesn't have, or in time."""
+        """Return once the requester lacks something, or after the time it waits."""
         with self._timers.move_on_after(min(request.wait, _MAX_WAIT_SECONDS)):
             while not self._has_changes(request):
                 await self._changed.wait()
@@ -265,10 +267,10 @@
             reply.judge = self._rollouts.judge()
 
     def _add_directory(self, request: pb.SyncRequest, reply: pb.SyncReply) -> None:
-        """Tell an entry host where callers connect, if that's news.
+        """Add the directory for callers if the requesting entry host has another one.
 
-        A host that has just started doesn't know all entry hosts yet; what it knows
-        is better than nothing, but no better than what others have told.
+        A control host that has just started may not know all entry hosts yet. Its
+        directory is sent only to hosts that have none.
         """
         uptime = self._timers.now() - self._started_at
         if request.directory_digest and uptime < _DIRECTORY_SETTLING_SECONDS:
@@ -283,7 +285,7 @@
         reply.entries_version = self._entries.version
 
     def _add_renewals(self, reply: pb.SyncReply) -> None:
-        """Tell another control host that upstreams without news live on."""
+        """Renew unchanged upstreams, so that the other host keeps them alive."""
         listed = {message.id for message in reply.upstreams}
         for announcement in self._catalog.all():
             if announcement.key in self._catalog.silent or announcement.id in listed:
--- a/src/pepperstep/coordination/upstream_catalog.py
+++ b/src/pepperstep/coordination/upstream_catalog.py
@@ -1,15 +1,15 @@
-"""All upstreams that a host knows of, with the order in which they changed.
+"""The upstreams that a host knows, with a version for each change.
 
-Announcements come over any control host, late, doubled and out of order. What
-is known of one upstream only moves forward: a higher incarnation replaces a lower
-one with all that was known of it, and within one a higher sequence a lower one,
-while `is_leaving` and `is_gone` stay. An upstream's service doesn't change within
-an incarnation: an announcement that says so is somebody else's.
+Announcements arrive through any control host, late, duplicated and out of order. So
+merging them is monotonic: a higher incarnation replaces a lower one with all its
+state, a higher sequence replaces a lower one of the same incarnation, and `is_leaving`
+and `is_gone` are never reset within an incarnation. The service is fixed for an
+incarnation: an announcement with another one has a different sender and is ignored.
 
-What an upstream states in its answers has no sequence; the latest answer holds.
+The limit that an upstream states in its answers has no sequence; the latest one holds.
 
-That nothing is heard of an upstream is no word of its own. It's kept apart, as
-`silent`, and any later announcement takes it back.
+An upstream without recent announcements is marked `silent`. That is this host's
+observation and no statement of the upstream, and the next announcement clears it.
 """
 
 import math
@@ -25,31 +25,31 @@
 
 __all__ = ["UpstreamCatalog"]
 
-# Upstreams that are gone are remembered, so that a late announcement doesn't
-# bring them back. 10,000 upstreams that are replaced once an hour leave
-# 8,192 of these in 49 minutes; announcements are late by seconds.
+# Gone upstreams are kept, so that a late announcement doesn't restore them. With 10,000
+# upstreams that are replaced once an hour, 8,192 of them span 49 minutes; announcements
+# are late by seconds.
 _MAX_GONE_UPSTREAMS = 8_192
 
-# Who told what is known of an upstream, where it's no other host.
+# Source of a change, for the log: an announcement that came to this host directly.
 _SOURCE_ITSELF = "itself"
 
 _SILENT = "silent"
-# Where something was learned from, if no other host told of it.
+# Source of a change, for the log: an upstream's answer to a request of this host.
 _SOURCE_ANSWER = "answer"
 
-# Called with what is known of an upstream.
+# Called with the current announcement of an upstream.
 Subscriber = Callable[[Announcement], None]
 
 
 @dataclass(slots=True)
 class _Entry:
     announcement: Announcement
-    # Version of the book at the latest change.
+    # Version of the catalog at the latest change.
     version: int
-    # Monotonic time of the latest announcement, and the control host that it came to.
+    # Monotonic time of the latest announcement, and the control host that received it.
     heard_at: float
     heard_by: str
-    # What its answers say of the requests that it takes, None if they say nothing.
+    # Limit that the upstream's answers state, None before the first statement.
     limit: StatedLimit | None = None
 
 
@@ -57,14 +57,14 @@
     """Upstreams by id; `version` grows with each change."""
 
     def __init__(self, now: Callable[[], float], name: str = ""):
-        """Make an empty book; `name` is that of a control host, where it's one's."""
+        """Create an empty catalog; `name` is this host's name on control hosts."""
         self._now = now
         self._name = name
         self._entries: dict[str, _Entry] = {}
         self._gone: OrderedDict[str, None] = OrderedDict()
-        # Monotonic time since which an upstream counts as silent.
+        # Monotonic time at which each silent upstream was marked.
         self._silent: dict[UpstreamKey, float] = {}
-        # Those that take work, by service and then by id; each request asks for them.
+        # Cache of `working` by service, sorted by id, as each request reads it.
         self._working: dict[str, list[_Entry]] = {}
         self._subscribers: list[Subscriber] = []
         self._restart_subscribers: list[Subscriber] = []
@@ -74,23 +74,23 @@
 
     @property
     def silent(self) -> Set[UpstreamKey]:
-        """Upstreams that count as silent."""
+        """Upstreams that are marked silent."""
         return self._silent.keys()
 
     def subscribe(self, subscriber: Subscriber) -> None:
-        """Call `subscriber` with each upstream of which something has changed."""
+        """Call `subscriber` with each upstream that changes."""
         self._subscribers.append(subscriber)
 
     def subscribe_restarts(self, subscriber: Subscriber) -> None:
-        """Call `subscriber` with what was known of an upstream that started again."""
+        """Call `subscriber` with the last announcement before an upstream's restart."""
         self._restart_subscribers.append(subscriber)
 
     def subscribe_forgotten(self, subscriber: Subscriber) -> None:
-        """Call `subscriber` with what was known of an upstream that is forgotten."""
+        """Call `subscriber` with the last announcement of each upstream removed."""
         self._forget_subscribers.append(subscriber)
 
     def get(self, upstream: str) -> Announcement | None:
-        """Return what is known of an upstream, None if nothing is."""
+        """Return the current announcement of an upstream, None if it's unknown."""
         entry = self._entries.get(upstream)
         return None if entry is None else entry.announcement
 
@@ -99,12 +99,12 @@
         return self._now() - self._entries[upstream].heard_at
 
     def all(self) -> list[Announcement]:
-        """Return all upstreams, those that are gone included, by id."""
+        """Return all upstreams by id, including the gone ones."""
         entries = sorted(self._entries.items())
         return [entry.announcement for _, entry in entries]
 
     def working(self, service: str) -> list[Announcement]:
-        """Return the upstreams of `service` that take work and are heard of, by id."""
+        """Return the upstreams of `service` that take work and aren't silent, by id."""
         entries = self._working.get(service)
         if entries is None:
             entries = [
@@ -116,10 +116,10 @@
         return [entry.announcement for entry in entries]
 
     def usable(self, service: str) -> list[Announcement]:
-        """Return the upstreams that a request may go to, by id.
+        """Return the upstreams of `service` that a request may be sent to, by id.
 
-        Where all of a service are silent, it's likelier that those who listen have a
-        fault than that all have ended at once: then the silent ones are usable.
+        If all of them are silent, the silent ones are usable: a fault of the control
+        hosts is more likely than the end of all upstreams at once.
         """
         heard = self.working(service)
         if heard or not self._silent:
@@ -127,26 +127,26 @@
         return [entry.announcement for entry in self._accepting_work(service)]
 
     def limit_of(self, upstream: UpstreamKey) -> StatedLimit | None:
-        """Return the limit that an upstream states, None if it states none now."""
+        """Return the limit in force at an upstream, None if there is none."""
         limit = self.latest_limit(upstream)
         return None if limit is None or limit.rate is None else limit
 
     def latest_limit(self, upstream: UpstreamKey) -> StatedLimit | None:
-        """Return the same, also one that has ended; None if none was ever stated."""
+        """Return the latest limit stated, also a lifted one, None if there is none."""
         entry = self._entry_of(upstream)
         return None if entry is None else entry.limit
 
     def limited_count(self) -> int:
-        """Return how many upstreams state a limit."""
+        """Return how many upstreams have a limit in force."""
         keys = [entry.announcement.key for entry in self._entries.values()]
         return sum(self.limit_of(key) is not None for key in keys)
 
     def mark_leaving(
         self, upstream: UpstreamKey, told_by: str = _SOURCE_ANSWER
     ) -> bool:
-        """Take in that an upstream's answers say that it leaves.
+        """Record that an upstream's answer says that it leaves.
 
-        Return whether that's news.
+        Return whether this changed its state.
         """
         entry = self._entry_of(upstream)
         if entry is None or not entry.announcement.takes_work:
@@ -158,9 +158,9 @@
     def record_limit(
         self, upstream: UpstreamKey, limit: StatedLimit, told_by: str = _SOURCE_ANSWER
     ) -> bool:
-        """Take in a stated limit, and return whether it differs from the known one.
+        """Record a stated limit and return whether its rate changed.
 
-        The latest statement holds, whichever comes first.
+        The statement with the latest time holds, in whatever order they arrive.
         """
         entry = self._entry_of(upstream)
         if entry is None:
@@ -177,13 +177,14 @@
         return True
 
     def heard_by(self, upstream: str) -> str:
-        """Return the control host that an upstream's latest announcement came to."""
+        """Return the control host that received an upstream's latest announcement."""
         return self._entries[upstream].heard_by
 
     def unheard_since(self, limit: Callable[[str], float]) -> set[UpstreamKey]:
-        """Return the upstreams of which nothing was heard since a monotonic time.
+        """Return the upstreams whose latest announcement is older than a limit.
 
-        `limit` gives it by the control host that the latest announcement came to.
+        `limit` gives the monotonic time for the control host that received it. Gone
+        upstreams are left out.
         """
         return {
             entry.announcement.key
@@ -196,7 +197,7 @@
         await self._changed.wait()
 
     def changed_since(self, version: int) -> list[tuple[Announcement, float]]:
-        """Return what changed after `version`, each with its age in seconds."""
+        """Return the changes after `version`, each with its age in seconds."""
         now = self._now()
         return [
             (entry.announcement, now - entry.heard_at)
@@ -205,7 +206,7 @@
         ]
 
     def working_count(self) -> int:
-        """Return how many upstreams of all services take work."""
+        """Return how many upstreams of all services take work and aren't silent."""
         return sum(
             entry.announcement.takes_work and entry.announcement.key not in self._silent
             for entry in self._entries.values()
@@ -218,10 +219,10 @@
         told_by: str = _SOURCE_ITSELF,
         heard_by: str = "",
     ) -> bool:
-        """Take in an announcement and return whether it changed anything.
+        """Merge an announcement and return whether it changed anything.
 
-        `told_by` names the host that passed it on, for the log; `heard_by` the control
-        host that it came to, this one without any.
+        `age` is in seconds. `told_by` names the host that relayed it, for the log;
+        `heard_by` names the control host that received it, by default this one.
         """
         known = self._entries.get(announcement.id)
         heard_at = self._now() - age
@@ -254,9 +255,9 @@
         incarnation: int | None = None,
         told_by: str = _SOURCE_ITSELF,
     ) -> None:
-        """Take in that a start of an upstream is gone, known or not.
+        """Mark an incarnation of an upstream as gone, even if it's unknown.
 
-        Without an incarnation, it's the latest that is known.
+        Without `incarnation`, mark the latest known one.
         """
         known = self.get(upstream)
         age = 0.0 if known is None else self.age(upstream)
@@ -270,9 +271,10 @@
             self.record(replace(known, is_gone=True), age, told_by)
 
     def mark_silent(self, upstream: UpstreamKey, age: float, told_by: str) -> None:
-        """Take in that a host whose latest word of an upstream is so old misses it.
+        """Mark an upstream silent on the report of another host.
 
-        A host that has heard of the upstream since then knows better.
+        `age` is how long ago, in seconds, that host's latest announcement arrived. The
+        report is ignored if this host has a later one.
         """
         entry = self._entry_of(upstream)
         if entry is None:
@@ -282,16 +284,16 @@
             self._set_silence(entry, True, told_by)
 
     def set_silent(self, silent: Set[UpstreamKey], told_by: str) -> None:
-        """Let just these upstreams count as silent, and the others as heard of."""
+        """Mark exactly these upstreams as silent."""
         for key in sorted(silent ^ self.silent):
             entry = self._entry_of(key)
             if entry is not None:
                 self._set_silence(entry, key in silent, told_by)
 
     def forget_silent(self, seconds: float) -> None:
-        """Forget the upstreams that have counted as silent for longer.
+        """Remove the upstreams that were marked silent more than `seconds` ago.
 
-        One that announces itself after that is a new one.
+        A later announcement adds the upstream anew.
         """
         limit = self._now() - seconds
         for key, since in list(self._silent.items()):
@@ -301,10 +303,10 @@
     def _replace_incarnation(
         self, before: Announcement, entry: _Entry, told_by: str
     ) -> None:
-        """Take in an upstream's later start, and drop what was known before."""
+        """Replace an upstream's state by that of a later incarnation."""
         announcement = entry.announcement
         logging.info(
-            "book: Upstream %s has started again, incarnation %d after %d.",
+            "book: Upstream %s restarted: incarnation %d replaces %d.",
             announcement.id,
             announcement.incarnation,
             before.incarnation,
@@ -318,7 +320,7 @@
     def _forget(self, upstream: UpstreamKey) -> None:
         del self._silent[upstream]
         entry = self._entries.pop(upstream[0])
-        logging.info("book: Upstream %s is forgotten after a long silence.", upstream)
+        logging.info("book: Removed upstream %s after a long silence.", upstream)
         self._working.clear()
         for subscriber in self._forget_subscribers:
             subscriber(entry.announcement)
@@ -356,7 +358,7 @@
             subscriber(entry.announcement)
 
     def _entry_of(self, upstream: UpstreamKey) -> _Entry | None:
-        """Return what is known of one start of an upstream, None if it isn't known."""
+        """Return the entry of one incarnation of an upstream, None if it's unknown."""
         entry = self._entries.get(upstream[0])
         if entry is None or entry.announcement.key != upstream:
             return None
@@ -414,7 +416,7 @@
 
 
 def _is_rejected(known: Announcement, heard: Announcement) -> bool:
-    """Whether an announcement isn't of the incarnation and service that are known."""
+    """Whether an announcement has an earlier incarnation or a different service."""
     if heard.incarnation < known.incarnation:
         return True
     has_both = bool(known.service and heard.service)
@@ -424,7 +426,7 @@
 def _merge(known: Announcement, heard: Announcement) -> Announcement:
     newer = heard if heard.sequence > known.sequence else known
     if not newer.address:
-        # Only its end was heard of until now.
+        # Only the upstream's end was known, without its address.
         newer = heard if heard.address else known
     return replace(
         newer,
@@ -434,7 +436,7 @@
 
 
 def _equal_but_for_sequence(one: Announcement, other: Announcement) -> bool:
-    """Whether two announcements differ in their number at most."""
+    """Whether announcements differ only in sequence, warmup and time to leave."""
     return replace(one, sequence=0, warmup=0.0, leaves_in=0.0) == replace(
         other, sequence=0, warmup=0.0, leaves_in=0.0
     )
--- a/src/pepperstep/coordination/usage.py
+++ b/src/pepperstep/coordination/usage.py
@@ -86,7 +86,7 @@
         timers: Timers,
         wall: Callable[[], float],
     ):
-        self._duty = leader_lease
+        self._leader_lease = leader_lease
         self._window = window
         self._agreement = agreement
         self._entries = entries
@@ -99,7 +99,7 @@
     async def run(self) -> None:
         """Report until cancelled."""
         async for _ in self._timers.subscribe(_POLL_SECONDS):
-            holder = self._duty.holder()
+            holder = self._leader_lease.holder()
             if holder is None:
                 continue
             latest = int((self._wall() - _SETTLING_SECONDS) // self._window) - 1
@@ -122,7 +122,7 @@
         counts = messages_to_counts(pb.UsageCommand.FromString(data).counts)
         if not counts:
             return True
-        holder = self._duty.holder()
+        holder = self._leader_lease.holder()
         if holder is None:
             return False
         report = UsageReport(holder.name, holder.fence, window, counts)
