--- a/src/pepperstep/coordination/__init__.py
+++ b/src/pepperstep/coordination/__init__.py
@@ -1,4 +1,4 @@
-"""What hosts know together: route tables, upstreams, entry hosts, usage."""
+"""State that all hosts share: route tables, upstreams, entry hosts and usage."""
 
 from pepperstep.coordination.autoscaler import Autoscaler
 from pepperstep.coordination.directory import Directory
--- a/src/pepperstep/coordination/autoscaler.py
+++ b/src/pepperstep/coordination/autoscaler.py
@@ -202,9 +202,9 @@
         state = self._states[service]
         for zone, counts in plan.items():
             planned = counts.of(is_reclaimable)
-            count_running = running[zone].of(is_reclaimable)
+            running_count = running[zone].of(is_reclaimable)
             order = state.next_order(
-                service, zone, is_reclaimable, planned, count_running
+                service, zone, is_reclaimable, planned, running_count
             )
             if order is not None:
                 await self._send(order, holder, state)
@@ -220,7 +220,7 @@
             return
         state.record_accepted(order)
         logging.info(
-            "orders: %s in %s shall have %d %s upstreams, by fence %d.",
+            "orders: Ordered service %s in zone %s to %d %s upstreams, fence %d.",
             order.service,
             order.zone,
             order.count,
@@ -232,7 +232,7 @@
         self, order: UpstreamOrder, failure: Failure, state: OrderState
     ) -> None:
         logging.info(
-            "orders: %d of %s in %s (reclaimable: %s) aren't ordered: %s",
+            "orders: Order of %d for %s in %s (reclaimable: %s) was refused: %s",
             order.count,
             order.service,
             order.zone,
--- a/src/pepperstep/coordination/departures.py
+++ b/src/pepperstep/coordination/departures.py
@@ -1,10 +1,10 @@
-"""Upstreams that leave or end, and when that may be acknowledged.
+"""Acknowledgement that an upstream leaves or has ended.
 
-After the acknowledgement no entry host may send such an upstream anything, whichever
-hosts restart. So most voters of the log must have it on their disks, and all entry
-hosts that ask one of these must have taken it in. Each entry host asks most voters, and
-so one that knows. An upstream's word can't be contradicted, so this needs no leader and
-no commit of the log.
+After the acknowledgement, no entry host may send the upstream requests, whichever hosts
+restart. So a majority of the log's voters must have stored the departure on disk, and
+all entry hosts that poll one of these must have applied it. Each entry host polls a
+majority of the voters, and so at least one that has stored it. A departure can't be
+contradicted, so this needs neither a leader nor a commit of the log.
 """
 
 from collections.abc import Awaitable, Callable
@@ -21,15 +21,15 @@
 
 __all__ = ["Departures"]
 
-# Time for all of this, in seconds: upstreams wait one second for their answer.
+# Time for the replication, in seconds: upstreams wait one second for their answer.
 _REPLICATION_SECONDS = 0.85
 
 
 class Departures:
-    """Departures that one control host has heard of, and those that others tell it.
+    """Replicates departures among control hosts.
 
-    `store` returns once what the host knows is on its disk, and raises `OSError` if the
-    disk fails.
+    `store` returns once this host's state is on disk, and raises `OSError` if that
+    fails.
     """
 
     def __init__(
@@ -54,9 +54,10 @@
         peers.handle(pb.UpstreamNotice, self._on_notice)
 
     async def replicate(self, upstream: Announcement) -> list[str]:
-        """Tell all control hosts, and return those that have taken it in.
+        """Send a departure to all control hosts; return those that have stored it.
 
-        Return once most voters have; raise `Failure` with `NO_QUORUM` if they don't.
+        Return once they are a majority of the voters. Raise `Failure` with `NO_QUORUM`
+        if they don't become one in time.
         """
         stored_by: list[str] = []
         has_majority = trio.Event()
@@ -87,7 +88,7 @@
         try:
             await self._make_durable()
         except Failure as failure:
-            logging.info("departures: Not taken in here: %s", failure.text)
+            logging.info("departures: Not stored on this host: %s", failure.text)
         else:
             mark_stored(self._name)
 
@@ -98,7 +99,7 @@
         try:
             await self._peers.call(other, notice, _REPLICATION_SECONDS)
         except Failure as failure:
-            logging.info("departures: %s misses a notice: %s", other, failure.text)
+            logging.info("departures: Not stored on %s: %s", other, failure.text)
         else:
             mark_stored(other)
 
@@ -107,7 +108,8 @@
     ) -> pb.UpstreamNoticeReply:
         announcement = Announcement.from_message(message.upstream)
         if announcement.is_gone and not announcement.service:
-            # The sender has heard of its end only, perhaps not of which start.
+            # The sender knows only that the upstream ended, perhaps not its
+            # incarnation.
             incarnation = announcement.incarnation or None
             self._catalog.mark_gone(announcement.id, incarnation, sender)
         else:
@@ -116,10 +118,10 @@
         return pb.UpstreamNoticeReply()
 
     async def _make_durable(self) -> None:
-        """Return once what the book holds now can't be forgotten or missed.
+        """Return once the current catalog is on disk and applied by the entry hosts.
 
-        Raise `Failure` with `NOT_READY` if the disk fails, or an entry host doesn't
-        take it in.
+        Raise `Failure` with `NOT_READY` if the disk fails or an entry host doesn't
+        apply it in time.
         """
         version = self._catalog.version
         is_applied = False
--- a/src/pepperstep/coordination/directory.py
+++ b/src/pepperstep/coordination/directory.py
@@ -1,9 +1,9 @@
-"""Where callers connect: the entry hosts that take requests.
+"""The directory: the entry hosts that callers connect to.
 
-Control hosts know it from the entry hosts' reports, and tell it to entry hosts
-with their answers. So both can answer callers, and callers find entry hosts while
-all control hosts are down. It also names the keepers, the entry hosts that keep for
-all what each sees a part of only.
+Control hosts build it from the entry hosts' reports and send it to entry hosts with
+their replies. So both can serve it to callers, also while all control hosts are down.
+It also names the keepers: entry hosts that aggregate, for all, state of which each host
+sees only a part.
 """
 
 from collections.abc import Collection
@@ -17,22 +17,22 @@
 
 __all__ = ["MAX_ADDRESSES", "Directory", "DirectoryEntry"]
 
-# Addresses that a caller is told, and that a host keeps: the most that callers take.
+# Most addresses in a directory, which is the most that callers accept.
 MAX_ADDRESSES = 64
-# Entry hosts of a caller's zone that are enough for it, and those of other zones that
-# are named besides.
+# Entry hosts in a caller's zone that are enough for it, and the number of other zones'
+# entry hosts that are then added.
 _ENOUGH_IN_ZONE = 16
 _MAX_OTHERS = 4
-# Entry hosts that keep the others' work. All connect to each of them, and a connection
-# has two threads at both ends.
+# Number of keepers. All entry hosts connect to each of them, and a connection has two
+# threads at both ends.
 _MAX_KEEPERS = 16
 
 
 @dataclass(frozen=True, order=True, slots=True)
 class DirectoryEntry:
-    """An entry host that takes callers' requests."""
+    """An entry host that accepts callers' requests."""
 
-    # For callers.
+    # Address for callers.
     address: str
     zone: str
 
@@ -42,16 +42,16 @@
     """Entry hosts in a fixed order."""
 
     entries: tuple[DirectoryEntry, ...] = ()
-    # Entry hosts that keep the upstreams' work for all: the same for each zone, and
-    # but for one those as before when a host comes or goes.
+    # Entry hosts that aggregate the upstreams' work for all. The same in each zone; one
+    # host more or less changes at most one of them.
     keepers: tuple[str, ...] = ()
 
     @classmethod
     def from_reports(cls, reports: Collection[EntryReport], zone: str) -> "Directory":
-        """Return the entry hosts of `reports`, those of `zone` first.
+        """Return the directory for callers in `zone`, its own entry hosts first.
 
-        Callers take any of them. A zone with many of its own gets few others, in case
-        that it's cut off, and each zone other ones.
+        Callers use any of the addresses. A zone with many entry hosts gets few others,
+        which serve it if it's cut off, and each zone gets different ones.
         """
         entries = [DirectoryEntry(each.caller_address, each.zone) for each in reports]
         in_zone = sorted(entry for entry in entries if entry.zone == zone)
@@ -65,19 +65,19 @@
 
     @classmethod
     def from_message(cls, message: pb.Directory) -> "Directory":
-        """Return the directory that `message` carries."""
+        """Return the directory in `message`."""
         entries = (DirectoryEntry(each.address, each.zone) for each in message.entries)
         return cls(tuple(entries), tuple(message.keepers))
 
     @cached_property
     def digest(self) -> int:
-        """A number that tells this content from others, 0 for no entry hosts."""
+        """A digest of the content, 0 without entry hosts."""
         if not self.entries:
             return 0
         return _hash(repr((self.entries, self.keepers)))
 
     def addresses(self, zone: str, without: str = "") -> list[str]:
-        """Return addresses for callers in `zone`, theirs first."""
+        """Return addresses for callers in `zone`, the zone's own first."""
         found = [entry for entry in self.entries if entry.address != without]
         found.sort(key=lambda entry: entry.zone != zone)
         return [entry.address for entry in found]
@@ -92,7 +92,7 @@
 
 
 def _choose_keepers(reports: Collection[EntryReport]) -> tuple[str, ...]:
-    """Return the hosts with the lowest hashes of their names."""
+    """Return the entry hosts with the lowest hashes of their names."""
     names = (report.host for report in reports)
     return tuple(sorted(names, key=_hash)[:_MAX_KEEPERS])
 
--- a/src/pepperstep/coordination/entry_host_catalog.py
+++ b/src/pepperstep/coordination/entry_host_catalog.py
@@ -216,7 +216,7 @@
         """Return the work that all entry hosts send to a service's upstreams."""
         limit = self._now() - _SILENCE_SECONDS
         service_works = [
-            state.report.service_works.get(service, ServiceWork())
+            state.report.works.get(service, ServiceWork())
             for state in self._latest_incarnations()
             if state.heard_at >= limit
         ]
--- a/src/pepperstep/coordination/entry_host_progress.py
+++ b/src/pepperstep/coordination/entry_host_progress.py
@@ -1,4 +1,4 @@
-"""Which of the upstreams' changes the entry hosts have taken in that ask this host."""
+"""The upstream changes that the entry hosts polling this control host have applied."""
 
 import trio
 
@@ -6,37 +6,37 @@
 
 __all__ = ["EntryHostProgress"]
 
-# Time without a question after which an entry host isn't waited for, in seconds. One
-# that this host doesn't reach asks another one by then.
+# Time without a request after which an entry host isn't waited for, in seconds. An
+# entry host that can't reach this control host polls another one by then.
 _SILENCE_SECONDS = 1.5
-# Between looks whether one has gone silent, in seconds.
+# Interval at which silent entry hosts are detected, in seconds.
 _POLL_SECONDS = 0.1
 
 
 class EntryHostProgress:
-    """The entry hosts by name, with the version of the book that each has."""
+    """The catalog version that each polling entry host has applied, by host name."""
 
     def __init__(self, timers: Timers):
         self._timers = timers
-        # Versions, and monotonic times of the latest question.
+        # Applied version, and monotonic time of the latest request.
         self._progress: dict[str, tuple[int, float]] = {}
         self._changed = trio.Event()
 
     def record(self, host: str, version: int) -> None:
-        """Take in that a host asks for what is newer than a version, 0 for all."""
+        """Record that a host requests the changes after `version`, 0 for all."""
         self._progress[host] = version, self._timers.now()
         self._changed.set()
         self._changed = trio.Event()
 
     def lagging(self, version: int) -> list[str]:
-        """Return the hosts that ask, and haven't taken in a version yet."""
+        """Return the polling hosts that haven't applied `version` yet."""
         self._evict_silent()
         return [
             name for name, (applied, _) in self._progress.items() if applied < version
         ]
 
     async def wait_applied(self, version: int) -> None:
-        """Return once all hosts that ask have taken in a version."""
+        """Return once all polling hosts have applied `version`."""
         while self.lagging(version):
             with self._timers.move_on_after(_POLL_SECONDS):
                 await self._changed.wait()
--- a/src/pepperstep/coordination/hints.py
+++ b/src/pepperstep/coordination/hints.py
@@ -1,10 +1,10 @@
-"""What a control host may tell others before the log has a leader again.
+"""State that a restarted control host serves before the log has a leader.
 
-After a loss of power everywhere, an election takes two to three seconds, and
-upstreams announce themselves once in 1.2 s. An agreed table stays agreed, and what has
-said that it leaves does leave; so both are told from a file at once. Reads of the table
-never come from here. The number of entry hosts is told too: the first that come back
-would each take a whole quota else.
+After a power loss of all hosts, an election takes two to three seconds, and upstreams
+announce themselves every 1.2 s. A committed table stays committed and a leaving
+upstream keeps leaving, so both are served from a file at once. Reads of the table never
+use it. The file also holds the number of entry hosts, as otherwise the first ones that
+return would each use a whole quota.
 """
 
 from collections.abc import Iterable
@@ -27,29 +27,29 @@
 __all__ = ["Hints"]
 
 _FILE = "hints"
-# Between two writes, in seconds: each costs three syncs.
+# Interval between two writes, in seconds: each costs three syncs.
 _WRITE_INTERVAL_SECONDS = 0.5
-# Time for which upstreams that are gone are kept, in seconds: announcements of theirs
-# that are on their way come later by seconds.
+# Time for which gone upstreams are stored, in seconds: their delayed announcements
+# arrive within seconds.
 _KEEP_GONE_SECONDS = 60.0
 
 
 class RolloutHints(Protocol):
-    """Roll-outs that were agreed on: upstreams of a bad version may still be there."""
+    """Committed roll-outs; upstreams of a bad version may still be running."""
 
     @property
     def index(self) -> int:
-        """Position in the log of the latest change."""
+        """Log position of the latest change."""
 
     def messages(self) -> list[RolloutRecord]:
         """Return the latest roll-out of each service."""
 
     def expect(self, messages: Iterable[RolloutRecord]) -> None:
-        """Take in what `messages` gave before this host's start."""
+        """Load the result of `messages` from before this host's start."""
 
 
 class Hints:
-    """The file, kept behind the table and the upstreams."""
+    """The file with the table, upstreams, roll-outs and entry host count."""
 
     def __init__(
         self,
@@ -68,12 +68,12 @@
         self._rollouts = rollouts
         self._written_versions = (0, 0, 0, 0)
         self._lock = trio.Lock()
-        # The document with its compressed bytes; upstreams change more often.
+        # Document with its compressed bytes; upstreams change more often.
         self._document = Document()
         self._table = b""
 
     async def load(self) -> None:
-        """Take in what the file holds; a damaged one is left out."""
+        """Load the file, unless it's missing or damaged."""
         data = await self._storage.read(_FILE)
         if data is None:
             return
@@ -82,7 +82,7 @@
             if hints.table_version:
                 self._tables.install(_decode_document(hints))
         except (DecodeError, Failure) as error:
-            logging.warning("hints: The file can't be used: %s", error)
+            logging.warning("hints: Ignoring the damaged file: %s", error)
             return
         for message in hints.upstreams:
             announcement = Announcement.from_message(message)
@@ -90,21 +90,21 @@
         self._entries.expect(hints.entry_count)
         self._rollouts.expect(hints.rollouts)
         logging.info(
-            "hints: Knows version %d and %d upstreams from before the start.",
+            "hints: Loaded table version %d and %d upstreams.",
             hints.table_version,
             len(hints.upstreams),
         )
 
     async def run(self) -> None:
-        """Write what changed until cancelled."""
+        """Write changes until cancelled."""
         async for _ in self._timers.subscribe(_WRITE_INTERVAL_SECONDS):
             try:
                 await self.store()
             except OSError as error:
-                logging.warning("hints: The file isn't written: %s", error)
+                logging.warning("hints: Could not write the file: %s", error)
 
     async def store(self) -> None:
-        """Return once the file holds what is known now; raise `OSError` if it can't."""
+        """Return once the current state is stored; raise `OSError` if that fails."""
         async with self._lock:
             state = (
                 self._tables.current.version,
--- a/src/pepperstep/coordination/host_share.py
+++ b/src/pepperstep/coordination/host_share.py
@@ -1,9 +1,9 @@
-"""This host's equal part of what all entry hosts may use together.
+"""This host's equal share of quotas and budgets that entry hosts have in common.
 
-The part is one by the number of hosts that control hosts tell. It's worth nothing
-without their word, as a host that isn't heard of is counted no longer after a while.
-What a part is worth adds up over time, from nothing at each start: so what a host has
-by it doesn't depend on what its lives before have used.
+The share is one divided by the number of entry hosts that control hosts report. It's
+zero without a recent report, as control hosts soon stop counting a host they don't hear
+from. The credit accrues over time from zero at each start, so it doesn't depend on what
+the host's previous incarnations have used.
 """
 
 from collections import deque
@@ -11,34 +11,34 @@
 
 __all__ = ["CONTACT_SECONDS", "HostShare"]
 
-# Time without word after which a host is out of contact, in seconds: two rounds of
-# questions.
+# Time without a report after which a host is out of contact, in seconds: two rounds of
+# polling.
 CONTACT_SECONDS = 1.2
-# Time without word during which a host is surely counted on, in seconds.
+# Time without a report for which control hosts certainly count this host, in seconds.
 _REJOIN_SECONDS = 5.0
 
 
 class HostShare:
-    """The part, by the numbers of hosts that control hosts tell.
+    """The share by the host counts that control hosts report.
 
-    The highest number that was told in the last `window` seconds counts: control hosts
-    that have just started hear of the hosts one after the other.
+    The highest count of the last `window` seconds applies: control hosts that have just
+    started hear from the entry hosts one after the other.
     """
 
     def __init__(self, window: float, now: Callable[[], float]):
         self._window = window
         self._now = now
-        # Times and numbers told, each lower than the one before.
+        # Times and host counts, each count lower than the one before.
         self._host_counts: deque[tuple[float, int]] = deque()
         self._updated_at = float("-inf")
-        # Seconds of the whole that the part was worth since this host is counted.
+        # Accrued share in seconds of the whole, since control hosts count this host.
         self.credit = 0.0
-        # How often this host has begun to be counted; the credit begins anew then.
+        # How often control hosts began to count this host; each time resets `credit`.
         self.joins = 0
 
     @property
     def hosts(self) -> int:
-        """Most hosts that were told of within the window, 1 before any were."""
+        """Highest host count within the window, 1 before the first report."""
         limit = self._now() - self._window
         while len(self._host_counts) > 1 and self._host_counts[0][0] < limit:
             self._host_counts.popleft()
@@ -46,15 +46,15 @@
 
     @property
     def part(self) -> float:
-        """Part of the whole that this host may use now, 0 for none."""
+        """Fraction of the whole that this host may use, 0 out of contact."""
         if self._now() - self._updated_at > CONTACT_SECONDS:
             return 0.0
         return 1 / self.hosts
 
     def record_host_count(self, hosts: int) -> None:
-        """Take in how many hosts a control host counts, this one among them.
+        """Record a control host's count of entry hosts, this one included.
 
-        Only one that's in contact with most others counts all.
+        Only a control host in contact with most others counts all of them.
         """
         now = self._now()
         while self._host_counts and self._host_counts[-1][1] <= hosts:
--- a/src/pepperstep/coordination/leader_lease.py
+++ b/src/pepperstep/coordination/leader_lease.py
@@ -1,8 +1,8 @@
-"""The right to act for the whole system, which one control host has at a time.
+"""The right of one control host at a time to act for the whole system.
 
-The holder is the log's leader, and its term the fencing token: the log gives
-each term to one host only. A new leader waits before it acts, so that two
-hosts never take turns faster than their lease.
+The holder is the log's leader. Its term is the fencing token, as the log gives each
+term to one host only. A new leader waits before it acts, so that hosts don't take turns
+faster than the lease.
 """
 
 from dataclasses import dataclass
@@ -15,28 +15,28 @@
 __all__ = ["LeaderLease", "LeaseHolder"]
 
 _FIRST_TERM = 1
-# Part of the lease that a new leader waits. A leader that is cut off takes itself
-# for the leader for up to 0.8 s after the election of the next. If it comes back
-# after that one has acted, two such waits lie between its own acts: with a lease
-# of 3 s, at least 3.2 s.
+# Share of the lease for which a new leader waits. A leader that is cut off believes
+# that it leads for up to 0.8 s after the next one's election. If it leads again after
+# that one has acted, two such waits lie between its own acts: at least 3.2 s with a
+# lease of 3 s.
 _WAIT_LEASE_SHARE = 2 / 3
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseHolder:
-    """Who acts, and by which fencing token."""
+    """The host that may act and its fencing token."""
 
     name: str
     fence: int
 
     @property
     def is_first(self) -> bool:
-        """Whether nobody has held the duty before, as in a group that's just formed."""
+        """Whether nobody held the lease before, as in a newly formed group."""
         return self.fence == _FIRST_TERM
 
 
 class LeaderLease:
-    """The right as one control host has it; `lease` is in seconds."""
+    """The lease on one control host; `lease` is its length in seconds."""
 
     def __init__(self, name: str, agreement: Agreement, timers: Timers, lease: float):
         self._name = name
@@ -45,11 +45,11 @@
         self._lease = lease
         self._term = 0
         self._term_began_at = 0.0
-        # Term that was logged.
+        # Latest term that was logged.
         self._logged_term = 0
 
     def holder(self) -> LeaseHolder | None:
-        """Return this host if it may act now, None otherwise."""
+        """Return this host if it may act, None otherwise."""
         if not self._agreement.is_leader:
             return None
         now = self._timers.now()
--- a/src/pepperstep/coordination/quorum_monitor.py
+++ b/src/pepperstep/coordination/quorum_monitor.py
@@ -1,4 +1,4 @@
-"""Whether a control host is in contact with most of those that decide."""
+"""Whether a control host is in contact with a majority of the log's voters."""
 
 from collections.abc import Callable
 
@@ -6,15 +6,15 @@
 
 __all__ = ["QuorumMonitor"]
 
-# Time after a start for which what needs the other control hosts waits for them, in
-# seconds: after a loss of power they come back within two seconds of each other.
+# Time after a start during which operations wait for the other control hosts, in
+# seconds: after a power loss they return within two seconds of each other.
 _FORMATION_SECONDS = 5.0
 
 
 class QuorumMonitor:
-    """A control host's contact with the voters of the log.
+    """Tracks which voters of the log answer this control host.
 
-    Learners don't count: one that is about to join may never answer.
+    Learners don't count: one that is joining may never answer.
     """
 
     def __init__(
@@ -31,20 +31,21 @@
         self._started_at = now()
 
     def has_quorum(self) -> bool:
-        """Whether most voters have answered lately, this host counted if it's one."""
+        """Whether a majority of voters, perhaps with this host, answered recently."""
         voters = set(self._voters())
         return 2 * len(self.reachable() & voters) > len(voters)
 
     def reachable(self) -> set[str]:
-        """Return the control hosts that have answered lately, this one included."""
+        """Return the control hosts that answered recently, this one included."""
         return {self._name, *self._reached_hosts()}
 
     def check(self) -> None:
-        """Raise `Failure` with `NO_QUORUM` where most voters are out of reach.
+        """Raise `Failure` with `NO_QUORUM` without a majority of voters.
 
-        Who asks goes to the next host at once: waiting here for an answer that can't
-        come cost operators 0.9 s a try, and two tries in three while one of three
-        control hosts was cut off. Hosts that have just started may come together yet.
+        Then a client can try the next host at once. Waiting for a reply that can't come
+        cost operators 0.9 s a try, on two tries in three while one of three control
+        hosts was cut off. A host that has just started doesn't raise, as its group may
+        still form.
         """
         if self._now() - self._started_at < _FORMATION_SECONDS or self.has_quorum():
             return
--- a/src/pepperstep/coordination/records.py
+++ b/src/pepperstep/coordination/records.py
@@ -1,4 +1,4 @@
-"""What hosts tell each other of upstreams and of entry hosts."""
+"""State of upstreams and entry hosts that hosts exchange."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field, replace
@@ -15,51 +15,51 @@
     "messages_to_counts",
 ]
 
-# An upstream's id and incarnation.
+# Id and incarnation of an upstream.
 UpstreamKey = tuple[str, int]
 
 
 @dataclass(frozen=True, slots=True)
 class Announcement:
-    """The latest that is known of one start of an upstream."""
+    """The latest known state of one incarnation of an upstream."""
 
-    # An upstream may have the same one again after a restart.
+    # Stays the same across restarts.
     id: str
     service: str
     # host:port of its HTTP interface.
     address: str
     zone: str
-    # Requests that it runs at the same time.
+    # Requests that it runs concurrently.
     slots: int = 0
-    # Number of the announcement within its incarnation; a lower one is older.
+    # Number of the announcement within its incarnation; higher is newer.
     sequence: int = 0
     is_leaving: bool = False
     is_gone: bool = False
-    # Whether the cloud may take it back.
+    # Whether the cloud may reclaim it.
     is_reclaimable: bool = False
-    # Seconds until it goes, 0 if it doesn't say.
+    # Seconds until it leaves, 0 if unknown.
     leaves_in: float = 0.0
-    # Seconds for which it stays slow after its start.
+    # Seconds after its start during which it's slow.
     warmup: float = 0.0
     # Version of its software.
     software: str = ""
-    # Unix time of its start in milliseconds, 0 if it doesn't say. A higher one is a
-    # later start, which holds nothing of what the one before held.
+    # Unix time of its start in milliseconds, 0 if unknown. A later start has lost the
+    # state of the earlier ones.
     incarnation: int = 0
 
     @property
     def key(self) -> UpstreamKey:
-        """What tells this start of the upstream from all others."""
+        """Identity of this incarnation of the upstream."""
         return self.id, self.incarnation
 
     @property
     def takes_work(self) -> bool:
-        """Whether new requests may go there."""
+        """Whether new requests may be sent to it."""
         return not (self.is_leaving or self.is_gone)
 
     @classmethod
     def from_message(cls, message: pb.AnnouncedUpstream) -> "Announcement":
-        """Return the announcement that `message` carries."""
+        """Return the announcement in `message`."""
         return cls(
             id=message.id,
             service=message.service,
@@ -77,7 +77,7 @@
         )
 
     def to_message(self, age: float = 0.0) -> pb.AnnouncedUpstream:
-        """Return the announcement, heard `age` seconds ago, as a message."""
+        """Return the announcement, received `age` seconds ago, as a message."""
         return pb.AnnouncedUpstream(
             id=self.id,
             service=self.service,
@@ -98,37 +98,37 @@
 
 @dataclass(frozen=True, slots=True)
 class StatedLimit:
-    """What an upstream's answers say of the requests that it takes."""
+    """Rate limit that an upstream states in its answers."""
 
-    # Requests a second from all hosts together, None for any number.
+    # Requests a second from all hosts together, None for no limit.
     rate: float | None
-    # Monotonic time of the latest answer that said so.
+    # Monotonic time of the latest answer that stated it.
     stated_at: float
 
     @classmethod
     def from_message(cls, message: pb.StatedLimit, now: float) -> "StatedLimit":
-        """Return the limit that `message`, received `now`, carries."""
+        """Return the limit in a message received at the monotonic time `now`."""
         rate = message.rate if message.HasField("rate") else None
         return cls(rate, now - message.age)
 
     def to_message(self, now: float) -> pb.StatedLimit:
-        """Return the limit as a message that is sent `now`."""
+        """Return the limit as a message sent at the monotonic time `now`."""
         return pb.StatedLimit(rate=self.rate, age=now - self.stated_at)
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceWork:
-    """Work that a service's upstreams are given, as means of the last seconds."""
+    """Work sent to a service's upstreams, averaged over the last seconds."""
 
-    # Requests under way.
+    # Requests in flight.
     in_flight: float = 0.0
-    # Seconds of reading prompts a second.
+    # Seconds of prompt reading per second.
     reading: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class EntryReport:
-    """What an entry host says of itself at one time."""
+    """An entry host's report of its state."""
 
     host: str
     # Grows with each start of the host's process.
@@ -138,16 +138,16 @@
     is_ready: bool
     # Cost admitted since the start, by workspace.
     admitted: dict[str, int] = field(default_factory=dict)
-    # Requests that began to run, by window of the accounting and workspace.
+    # Requests that began to run, by usage window and workspace.
     windows: dict[int, dict[str, int]] = field(default_factory=dict)
-    # Work that upstreams are given, by service.
+    # Work sent to upstreams, by service.
     works: dict[str, ServiceWork] = field(default_factory=dict)
     # Seconds since the start.
     uptime: float = 0.0
 
     @classmethod
     def from_message(cls, message: pb.EntryState) -> "EntryReport":
-        """Return the report that `message` carries."""
+        """Return the report in `message`."""
         windows = {
             each.window: messages_to_counts(each.counts) for each in message.windows
         }
@@ -167,7 +167,7 @@
         )
 
     def changed_since(self, earlier: "EntryReport | None") -> "EntryReport":
-        """Return the report without the counts that an earlier one holds."""
+        """Return the report without the counts that `earlier` already has."""
         if earlier is None:
             return self
         admitted = self.admitted.items() - earlier.admitted.items()
@@ -211,5 +211,5 @@
 
 
 def messages_to_counts(messages: Iterable[pb.WorkspaceCount]) -> dict[str, int]:
-    """Return counts by workspace."""
+    """Return the counts by workspace in `messages`."""
     return {message.workspace: message.count for message in messages}
--- a/src/pepperstep/coordination/table_fetcher.py
+++ b/src/pepperstep/coordination/table_fetcher.py
@@ -1,8 +1,8 @@
-"""Fetches the operators' document when a control host tells of a newer one.
+"""Fetches the operators' document when a control host has a newer version.
 
-Control hosts tell each host of new versions; what changed is asked of one of them
-at a time, part by part. So a large table crosses a host's link once, and callers'
-answers aren't held up behind it.
+Control hosts announce new versions in their replies. The changes are requested from one
+of them at a time, in parts. So a large table crosses a host's link once and doesn't
+delay callers' answers.
 """
 
 from collections.abc import Callable
@@ -22,33 +22,32 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchSettings:
-    """Times in seconds."""
+    """Timing in seconds."""
 
-    # Between the news of a version and the first question for it: control hosts have
-    # it from the log, mostly before they ask.
+    # Between the announcement of a version and the first request for it. Control hosts
+    # mostly receive it through the log meanwhile.
     delay: float = 0.0
-    # One question with a part as its answer.
+    # For a request and its reply with one part.
     timeout: float = 1.0
-    # Until a control host is asked again that didn't answer, or whose update can't be
-    # used.
+    # Pause after a control host failed to answer or sent an unusable update.
     pause: float = 1.0
-    # Between looks for a control host to ask, where all are passed over.
+    # Pause before choosing again while all control hosts are backed off.
     backoff: float = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class _Partial:
-    """What has come of an update."""
+    """The parts of an update received so far."""
 
     digest: int = 0
     data: bytes = b""
 
 
 class TableFetcher:
-    """Keeps a host's table as new as what its control hosts tell of.
+    """Keeps a host's table at the newest version that its control hosts announce.
 
-    `rank` gives the order in which control hosts are asked; hosts differ in it, so
-    that a change doesn't load one control host with all of them.
+    `rank` orders the control hosts to ask. It differs between hosts, so that a change
+    doesn't load a single control host.
     """
 
     def __init__(
@@ -65,30 +64,30 @@
         self._rank = rank
         self._settings = settings or FetchSettings()
         self._versions: dict[str, int] = {}
-        # Time until which a control host is passed over.
+        # Monotonic time until which each control host is skipped.
         self._backoff_until: dict[str, float] = {}
         self._partial = _Partial()
-        # Whether steps didn't fit, so that the whole document is asked for.
+        # Whether an update by steps failed, so that the whole document is needed.
         self._needs_whole = False
         self._newer_version = trio.Event()
 
     def latest_version_of(self, control_host: str) -> int:
-        """Return the newest version that a control host has told of."""
+        """Return the latest version announced by a control host, 0 if there is none."""
         return self._versions.get(control_host, 0)
 
     def record_version(self, control_host: str, version: int) -> None:
-        """Take in the version that a control host has."""
+        """Record the version that a control host announces."""
         self._versions[control_host] = version
         if version > self._tables.current.version:
             self._newer_version.set()
 
     def forget(self, control_host: str) -> None:
-        """Drop a control host that isn't asked anything any more."""
+        """Discard a control host that is no longer polled."""
         self._versions.pop(control_host, None)
         self._backoff_until.pop(control_host, None)
 
     async def run(self) -> None:
-        """Fetch until cancelled."""
+        """Fetch updates until cancelled."""
         while True:
             await self._wait_newer_version()
             control_host = self._choose_control_host()
@@ -98,19 +97,19 @@
                 await self._fetch_part(control_host)
 
     async def _wait_newer_version(self) -> None:
-        if self._is_behind():
+        if self._is_outdated():
             return
-        while not self._is_behind():
+        while not self._is_outdated():
             self._newer_version = trio.Event()
             await self._newer_version.wait()
         await self._timers.sleep(self._settings.delay)
 
-    def _is_behind(self) -> bool:
+    def _is_outdated(self) -> bool:
         current = self._tables.current.version
         return any(version > current for version in self._versions.values())
 
     def _choose_control_host(self) -> str | None:
-        """Return the first control host by rank that has something newer."""
+        """Return the first control host by rank that has a newer version."""
         current = self._tables.current.version
         now = self._timers.now()
         candidates = [
@@ -121,7 +120,7 @@
         return min(candidates, key=self._rank, default=None)
 
     async def _fetch_part(self, control_host: str) -> None:
-        """Take the next part, and the update once it's whole."""
+        """Request the next part, and apply the update once it's complete."""
         request = pb.TableRequest(
             from_version=0 if self._needs_whole else self._tables.current.version,
             digest=self._partial.digest,
@@ -130,11 +129,11 @@
         try:
             part = await self._peers.call(control_host, request, self._settings.timeout)
         except Failure as failure:
-            logging.info("fetcher: %s gives no routes: %s", control_host, failure.text)
+            logging.info("fetcher: No table from %s: %s", control_host, failure.text)
             self._back_off(control_host)
             return
         if not part.data:
-            # It has lost what it told of, or never had it.
+            # The control host doesn't have the version that it announced.
             self._versions[control_host] = part.version
             self._back_off(control_host)
             return
@@ -161,7 +160,7 @@
             document = apply_update(self._tables.document, data)
             await self._tables.install_in_steps(document)
         except Failure as failure:
-            logging.error("fetcher: An update of %s: %s", control_host, failure.text)
+            logging.error("fetcher: Bad update from %s: %s", control_host, failure.text)
             self._needs_whole = True
             self._back_off(control_host)
         else:
--- a/src/pepperstep/coordination/table_history.py
+++ b/src/pepperstep/coordination/table_history.py
@@ -1,4 +1,4 @@
-"""The last changes of the operators' document, for hosts that are behind."""
+"""Recent changes of the operators' document, for hosts with earlier versions."""
 
 from collections import OrderedDict, deque
 
@@ -14,40 +14,40 @@
 
 __all__ = ["TableHistory"]
 
-# Steps that are kept; a host that is further behind is sent the whole document.
+# Number of steps kept. A host that lacks more is sent the whole document.
 _MAX_STEPS = 256
-# Compressed updates that are kept, also of versions that were overtaken: a host that
-# has a part of one goes on with it.
+# Number of compressed updates kept, also of superseded versions, so that a host with a
+# partial update can complete it.
 _MAX_UPDATES = 8
-# Bytes of an update in one answer. Callers' answers share the link: at 5 Mbit/s they
-# wait for 26 ms at most.
+# Size of a part of an update in bytes. Callers' answers share the link: at 5 Mbit/s, a
+# part delays them by 26 ms at most.
 _PART_BYTES = 16 * 1024
 
 
 class TableHistory:
-    """Answers hosts that ask for what they lack, part by part."""
+    """Serves updates to hosts with earlier versions, in parts."""
 
     def __init__(self):
         self._document = Document()
         self._steps: deque[pb.TableStep] = deque()
         self._step_bytes = 0
-        # By digest, the one used last at the end.
+        # Compressed updates by digest, least recently used first.
         self._updates: OrderedDict[int, bytes] = OrderedDict()
-        # Digests of the updates to the newest version, by the asker's version.
+        # Digests of the updates to the newest version, by the version updated from.
         self._digests: dict[int, int] = {}
 
     def add(self, document: Document) -> None:
-        """Take a newer document."""
+        """Add a newer document."""
         if self._document.version:
             self._add_step(make_step(self._document, document))
         self._document = document
         self._digests.clear()
 
     def part_for(self, request: pb.TableRequest) -> pb.TablePart:
-        """Return the next part of what the asker lacks.
+        """Return the next part of the update that the requester needs.
 
-        Its data is empty if the asker lacks nothing. An update that the asker has
-        a part of goes on, unless this host doesn't know it.
+        The part is empty if the requester is up to date. An update of which the
+        requester has a part is continued if it's still kept.
         """
         if request.from_version >= self._document.version:
             return pb.TablePart(version=self._document.version)
@@ -67,7 +67,7 @@
         )
 
     def _add_step(self, step: pb.TableStep) -> None:
-        """Keep a step, and as many before it as are shorter than the document."""
+        """Keep a step, and as many earlier ones as are smaller than the document."""
         self._steps.append(step)
         self._step_bytes += step.ByteSize()
         limit = max(len(self._document.data), step.ByteSize())
@@ -75,7 +75,7 @@
             self._step_bytes -= self._steps.popleft().ByteSize()
 
     def _prepare_update(self, version: int) -> int:
-        """Return the digest of the update for a host at a version."""
+        """Return the digest of the update from `version`."""
         digest = self._digests.get(version)
         if digest in self._updates:
             return digest
--- a/src/pepperstep/coordination/table_updates.py
+++ b/src/pepperstep/coordination/table_updates.py
@@ -1,7 +1,7 @@
-"""Updates of operators' documents: steps from an earlier version, or all of it.
+"""Updates of the operators' document: steps from an earlier version, or all of it.
 
-They are compressed as a whole: routes resemble each other, and many that come at
-once take a tenth of their bytes.
+An update is compressed as a whole. Routes resemble each other, so this reduces many new
+ones to a tenth of their size.
 """
 
 import zlib
@@ -24,20 +24,20 @@
     "make_step",
 ]
 
-# Longest update before its compression, in bytes: twice the longest document.
+# Longest decompressed update in bytes: twice the longest document.
 _MAX_BYTES = 64 * 1024 * 1024
 
 
 @dataclass(frozen=True, slots=True)
 class Document:
-    """An operators' document with its version, 0 for none."""
+    """An operators' document; version 0 stands for none."""
 
     version: int = 0
     data: bytes = b""
 
 
 def make_step(old: Document, new: Document) -> pb.TableStep:
-    """Return what turns `old` into `new`."""
+    """Return the step from `old` to `new`."""
     step = pb.TableStep(
         from_version=old.version, version=new.version, digest=_digest(new.data)
     )
@@ -49,22 +49,23 @@
 
 
 def encode_steps(steps: list[pb.TableStep]) -> bytes:
-    """Return the compressed update of steps in their order."""
+    """Return the compressed update with consecutive steps."""
     update = pb.TableUpdate(version=steps[-1].version, steps=steps)
     return compress(update.SerializeToString())
 
 
 def encode_whole(document: Document) -> bytes:
-    """Return the compressed update for a receiver that has nothing."""
+    """Return the compressed update with the whole document."""
     update = pb.TableUpdate(version=document.version, document=document.data)
     return compress(update.SerializeToString())
 
 
 def apply_update(current: Document, data: bytes) -> Document:
-    """Return the document that a compressed update makes of the one held.
+    """Return the document that a compressed update makes of `current`.
 
     Raise `Failure` with `INVALID_REQUEST` for an update that can't be read, that
-    doesn't begin at the version held, or that leads to another document.
+    doesn't start at the current version, or whose result has the wrong digest or
+    version.
     """
     update = _decode(data)
     if update.document:
@@ -80,12 +81,12 @@
 
 
 def compress(data: bytes) -> bytes:
-    """Return compressed bytes, the same on all hosts."""
+    """Return compressed bytes, identical on all hosts."""
     return zlib.compress(data)
 
 
 def decompress(data: bytes) -> bytes:
-    """Return what `compress` was given; raise `Failure` for other bytes."""
+    """Return the data passed to `compress`; raise `Failure` for other bytes."""
     decompressor = zlib.decompressobj()
     try:
         plain = decompressor.decompress(data, _MAX_BYTES)
--- a/src/pepperstep/coordination/tables.py
+++ b/src/pepperstep/coordination/tables.py
@@ -1,4 +1,4 @@
-"""Operators' route tables: agreed on by the control hosts, the highest in force."""
+"""The operators' route table: replicated by the log, the highest version in force."""
 
 from collections.abc import Callable, Generator, Iterator
 
@@ -24,20 +24,20 @@
 
 TABLE_MACHINE = "tables"
 
-# Reads an operator's document in steps, between which others may run; raises
-# `InvalidDocument` for one with faults.
+# Decodes an operators' document, yielding between steps so that other tasks can run.
+# Raises `InvalidDocument`.
 Decoder = Callable[[bytes], Generator[None, None, RouteTable]]
 
 
 class TableMachine:
-    """The document with the highest version; one not higher changes nothing."""
+    """State machine that holds the document with the highest version."""
 
     def __init__(self, on_change: Callable[[Document], None]):
         self._on_change = on_change
         self.document = Document()
 
     def apply(self, index: int, command: bytes) -> bytes:
-        """Take an update and return a `TableResult`."""
+        """Apply a `TableCommand` and return a `TableResult`."""
         message = pb.TableCommand.FromString(command)
         result = pb.TableResult()
         if message.version > self.document.version:
@@ -46,20 +46,20 @@
         return result.SerializeToString()
 
     def snapshot(self) -> bytes:
-        """Return the document with its version."""
+        """Return the document and its version as bytes."""
         state = pb.TableState(
             version=self.document.version, document=compress(self.document.data)
         )
         return state.SerializeToString()
 
     def restore(self, data: bytes) -> None:
-        """Take the state that `snapshot` returned."""
+        """Restore the state from the bytes of `snapshot`."""
         state = pb.TableState.FromString(data)
         if state.version > self.document.version:
             self._set(Document(state.version, decompress(state.document)))
 
     def _apply_update(self, message: pb.TableCommand) -> bool:
-        """Return whether the update fits the document held."""
+        """Apply an update and return whether it fits the current document."""
         try:
             document = apply_update(self.document, message.update)
         except Failure as failure:
@@ -76,7 +76,7 @@
 
 
 class TableStore:
-    """The table in force on this host; within a process it never goes back."""
+    """The table in force on this host; its version never decreases in a process."""
 
     def __init__(self, decode: Decoder):
         self._decode = decode
@@ -87,24 +87,27 @@
 
     @property
     def is_known(self) -> bool:
-        """Whether any table has reached this host."""
+        """Whether a table has been installed."""
         return self.current.version > 0
 
     async def wait_known(self) -> None:
-        """Return once a table has reached this host."""
+        """Return once a table has been installed."""
         await self._has_table.wait()
 
     def subscribe(self, subscriber: Callable[[RouteTable], None]) -> None:
-        """Call `subscriber` with each table that comes in force."""
+        """Call `subscriber` with each table that comes into force."""
         self._subscribers.append(subscriber)
 
     def install(self, document: Document) -> None:
-        """Put an agreed document in force, unless it isn't newer."""
+        """Put a replicated document in force if it's newer."""
         for _ in self._install(document):
             pass
 
     async def install_in_steps(self, document: Document) -> None:
-        """Do the same, and let requests run while a large document is read."""
+        """Put a replicated document in force if it's newer.
+
+        Other tasks run between the steps of decoding a large document.
+        """
         for _ in self._install(document):
             await trio.lowlevel.checkpoint()
 
@@ -115,7 +118,7 @@
 
     def _put_in_force(self, document: Document, table: RouteTable) -> None:
         if document.version <= self.current.version:
-            # Overtaken while it was read.
+            # A newer document was installed during the decoding.
             return
         event = TableInForce(
             document.version,
@@ -138,11 +141,11 @@
     document: Document,
     timeout: float,
 ) -> None:
-    """Return once the document is agreed on, or known as not higher.
+    """Return once the document is committed or known not to be newer.
 
-    `held` is the document that this host has agreed on last; where another one came
-    between, the whole document is proposed. Raise `Failure` with `NO_QUORUM` after
-    `timeout` seconds.
+    `held` is the latest document that this host has committed. If another one was
+    committed since, the whole document is proposed. Raise `Failure` with `NO_QUORUM`
+    after `timeout` seconds.
     """
     deadline = timers.now() + timeout
     update = _update_from(held, document)
@@ -167,7 +170,7 @@
 async def _propose(
     agreement: Agreement, version: int, update: bytes, timeout: float
 ) -> bool:
-    """Return whether the whole document is needed."""
+    """Propose an update and return whether the whole document is needed."""
     command = pb.TableCommand(version=version, update=update)
     data = await agreement.propose(TABLE_MACHINE, command.SerializeToString(), timeout)
     return pb.TableResult.FromString(data).needs_whole
--- a/src/pepperstep/coordination/usage.py
+++ b/src/pepperstep/coordination/usage.py
@@ -1,8 +1,7 @@
-"""Usage of each window, agreed on before it's reported.
+"""Usage of each window, committed to the log before it's reported.
 
-The leader adds up what the entry hosts counted and commits the sums; only
-then it reports them. A later leader finds the committed sums, so that two
-reports of one window never differ.
+The leader sums the entry hosts' counts and commits them; only then does it report them.
+A later leader finds the committed sums, so two reports of a window never differ.
 """
 
 from collections import OrderedDict
@@ -23,22 +22,22 @@
 
 USAGE_MACHINE = "usage"
 
-# Windows whose sums are kept: reports are due within seconds, and a new
-# leader sends the newest ones again.
+# Windows whose sums are kept. Reports are due within seconds, and a new leader repeats
+# the latest ones.
 _KEPT_WINDOWS = 64
-# Time after a window's end until the entry hosts' counts are all there, in
-# seconds: they come four times a second, clocks differ by a part of one.
+# Time after a window's end until all entry hosts' counts have arrived, in seconds: they
+# are sent four times a second, and clocks differ by a fraction of a second.
 _SETTLING_SECONDS = 1.5
-# Windows before the latest that a new leader reports again.
+# Windows before the latest one that a new leader reports again.
 _REPEATED_WINDOWS = 2
 _PROPOSE_SECONDS = 2.0
 _POLL_SECONDS = 0.25
-# A report that got no answer is sent again after so long, in seconds.
+# Pause before a report without an answer is sent again, in seconds.
 _RESEND_SECONDS = 1.0
 
 
 class UsageMachine:
-    """Sums by window; the first that are committed for a window stay."""
+    """State machine with the sums of each window; the first committed ones stay."""
 
     def __init__(self) -> None:
         self._reports: OrderedDict[int, dict[str, int]] = OrderedDict()
@@ -48,7 +47,7 @@
         return self._reports.get(window)
 
     def apply(self, index: int, command: bytes) -> bytes:
-        """Take a window's sums, unless there are some; return those that hold."""
+        """Commit a window's sums unless it has some; return the committed ones."""
         message = pb.UsageCommand.FromString(command)
         counts = messages_to_counts(message.counts)
         committed = self._reports.setdefault(message.window, counts)
@@ -57,14 +56,14 @@
         return _usage_command(message.window, committed).SerializeToString()
 
     def snapshot(self) -> bytes:
-        """Return all sums."""
+        """Return all sums as bytes."""
         state = pb.UsageState(
             reports=[_usage_command(window, counts) for window, counts in self._items()]
         )
         return state.SerializeToString()
 
     def restore(self, data: bytes) -> None:
-        """Take the state that `snapshot` returned."""
+        """Restore the state from the bytes of `snapshot`."""
         self._reports.clear()
         for report in pb.UsageState.FromString(data).reports:
             self._reports[report.window] = messages_to_counts(report.counts)
@@ -74,7 +73,7 @@
 
 
 class UsageReporter:
-    """Reports each window's usage while this host leads."""
+    """Reports each window's usage while this host holds the leader lease."""
 
     def __init__(
         self,
@@ -110,14 +109,14 @@
                 self._next_window += 1
 
     async def _report(self, window: int) -> bool:
-        """Commit and report one window; return whether that's done."""
+        """Commit and report one window; return whether it's done."""
         command = _usage_command(window, self._entries.counts_of(window))
         try:
             data = await self._agreement.propose(
                 USAGE_MACHINE, command.SerializeToString(), _PROPOSE_SECONDS
             )
         except Failure as failure:
-            logging.info("usage: Window %d isn't agreed on: %s", window, failure.text)
+            logging.info("usage: Window %d isn't committed: %s", window, failure.text)
             return False
         counts = messages_to_counts(pb.UsageCommand.FromString(data).counts)
         if not counts:
