--- a/src/pepperstep/coordination/entry_host_catalog.py
+++ b/src/pepperstep/coordination/entry_host_catalog.py
@@ -31,7 +31,7 @@
 _RESTART_SLACK_SECONDS = 1.0
 # Time without a report after which an incarnation is removed, in seconds. Usage of the
 # windows it counted is reported before.
-_EVICTION_SECONDS = 60.0
+_FORGET_SECONDS = 60.0
 # Usage windows that are kept for each entry host.
 _KEPT_WINDOWS = 12
 # Age at which the snapshot of reachable entry hosts is renewed, in seconds. A report
@@ -215,19 +215,19 @@
     def work_of(self, service: str) -> ServiceWork:
         """Return the work that all entry hosts send to a service's upstreams."""
         limit = self._now() - _SILENCE_SECONDS
-        service_works = [
+        works = [
             state.report.works.get(service, ServiceWork())
             for state in self._latest_incarnations()
             if state.heard_at >= limit
         ]
         return ServiceWork(
-            sum(work.in_flight for work in service_works),
-            sum(work.reading for work in service_works),
+            sum(work.in_flight for work in works),
+            sum(work.reading for work in works),
         )
 
     def messages_since(self, version: int) -> list[pb.EntryState]:
         """Return the reports that this host published after `version`."""
-        self._evict_silent()
+        self._forget_silent()
         now = self._now()
         return [
             state.changed_since(version).to_message(now - state.heard_at)
@@ -309,13 +309,13 @@
         zones = frozenset(report.zone for report in ready)
         return _Snapshot(now, heard, ready, zones, directories)
 
-    def _evict_silent(self) -> None:
-        limit = self._now() - _EVICTION_SECONDS
+    def _forget_silent(self) -> None:
+        limit = self._now() - _FORGET_SECONDS
         for state in self._all_incarnations():
             if state.heard_at < limit:
-                self._evict(state)
+                self._forget(state)
 
-    def _evict(self, state: _Incarnation) -> None:
+    def _forget(self, state: _Incarnation) -> None:
         for workspace, count in state.report.admitted.items():
             self._admitted[workspace] -= count
         incarnations = self._incarnations[state.report.host]
--- a/src/pepperstep/coordination/entry_host_progress.py
+++ b/src/pepperstep/coordination/entry_host_progress.py
@@ -19,21 +19,19 @@
     def __init__(self, timers: Timers):
         self._timers = timers
         # Applied version, and monotonic time of the latest request.
-        self._progress: dict[str, tuple[int, float]] = {}
+        self._known: dict[str, tuple[int, float]] = {}
         self._changed = trio.Event()
 
     def record(self, host: str, version: int) -> None:
         """Record that a host requests the changes after `version`, 0 for all."""
-        self._progress[host] = version, self._timers.now()
+        self._known[host] = version, self._timers.now()
         self._changed.set()
         self._changed = trio.Event()
 
     def lagging(self, version: int) -> list[str]:
         """Return the polling hosts that haven't applied `version` yet."""
-        self._evict_silent()
-        return [
-            name for name, (applied, _) in self._progress.items() if applied < version
-        ]
+        self._forget_silent()
+        return [name for name, (known, _) in self._known.items() if known < version]
 
     async def wait_applied(self, version: int) -> None:
         """Return once all polling hosts have applied `version`."""
@@ -41,8 +39,8 @@
             with self._timers.move_on_after(_POLL_SECONDS):
                 await self._changed.wait()
 
-    def _evict_silent(self) -> None:
+    def _forget_silent(self) -> None:
         limit = self._timers.now() - _SILENCE_SECONDS
-        for name, (_, asked_at) in list(self._progress.items()):
+        for name, (_, asked_at) in list(self._known.items()):
             if asked_at < limit:
-                del self._progress[name]
+                del self._known[name]
