--- a/proofs/relay.py
+++ b/proofs/relay.py
@@ -35,9 +35,7 @@
         "relay/signals.py",
         "if facts.is_leaving and self._catalog.mark_leaving(upstream.key):",
         "if False:",
-        (
-            f"{_LEAVING}test_host_that_reaches_no_control_host_takes_an_answer_at_its_word",
-        ),
+        (f"{_LEAVING}test_isolated_host_applies_leaving_in_an_answer",),
     ),
     Mechanism(
         5,
@@ -45,7 +43,7 @@
         "coordination/sync_server.py",
         "            self._catalog.mark_leaving(upstream, sender)\n",
         "            pass\n",
-        (f"{_LEAVING}test_one_hosts_answer_tells_all_hosts",),
+        (f"{_LEAVING}test_leaving_in_one_answer_reaches_all_hosts",),
     ),
     Mechanism(
         8,
@@ -185,7 +183,7 @@
         "coordination/hints.py",
         "return self._catalog.age(upstream.id) < _KEEP_GONE_SECONDS",
         "return False",
-        (f"{_DEPARTURES}test_late_announcement_brings_nothing_back_after_a_restart",),
+        (f"{_DEPARTURES}test_late_announcement_after_restart_is_ignored",),
     ),
     Mechanism(
         5,
@@ -193,9 +191,7 @@
         "coordination/departures.py",
         "            await self._entry_host_progress.wait_applied(version)\n",
         "            pass\n",
-        (
-            f"{_DEPARTURES}test_leaving_is_acknowledged_once_all_entry_hosts_have_heard_of_it",
-        ),
+        (f"{_DEPARTURES}test_leaving_is_acknowledged_once_entry_hosts_applied_it",),
     ),
     Mechanism(
         5,
@@ -227,7 +223,9 @@
         "coordination/sync_server.py",
         "EntryReport.from_message(message), age + message.age\n",
         "EntryReport.from_message(message), age\n",
-        ("tests/relaying/test_entry_host_catalog.py::test_reports_age_on_their_way",),
+        (
+            "tests/relaying/test_entry_host_catalog.py::test_transit_time_adds_to_age_of_reports",
+        ),
     ),
     Mechanism(
         7,
@@ -243,10 +241,7 @@
         "programs/control_host.py",
         "        await self._hints.load()\n",
         "",
-        (
-            f"{_COORDINATION}"
-            "test_restarted_control_hosts_tell_the_table_before_an_election",
-        ),
+        (f"{_COORDINATION}test_restarted_control_hosts_serve_table_before_election",),
     ),
     Mechanism(
         7,
@@ -262,7 +257,7 @@
         "coordination/silence.py",
         "if was_frozen or not self._quorum_monitor.has_quorum():",
         "if was_frozen:",
-        (f"{_SILENCE}test_host_without_contact_judges_nothing_nor_right_after",),
+        (f"{_SILENCE}test_host_without_quorum_marks_nothing_silent",),
     ),
     Mechanism(
         9,
@@ -270,7 +265,7 @@
         "coordination/silence.py",
         "if was_frozen or not self._quorum_monitor.has_quorum():",
         "if not self._quorum_monitor.has_quorum():",
-        (f"{_SILENCE}test_host_that_was_frozen_judges_nothing_right_after",),
+        (f"{_SILENCE}test_frozen_host_marks_nothing_silent",),
     ),
     Mechanism(
         9,
@@ -278,7 +273,7 @@
         "coordination/silence.py",
         "set(first).intersection(*others)",
         "set(first).union(*others)",
-        (f"{_SILENT}test_upstream_that_goes_over_to_the_host_cut_off_stays_in_use",),
+        (f"{_SILENT}test_upstream_that_moves_to_isolated_host_stays_in_use",),
     ),
     Mechanism(
         9,
@@ -286,10 +281,7 @@
         "coordination/silence.py",
         "if vote is None or vote.epoch != reply.registry_epoch:",
         "if vote is None or self._now() - vote.answered_at > _SILENCE_SECONDS:",
-        (
-            f"{_SILENCE}"
-            "test_control_host_that_answers_again_has_said_what_it_said_before",
-        ),
+        (f"{_SILENCE}test_vote_counts_again_once_control_host_answers",),
     ),
     Mechanism(
         7,
@@ -305,7 +297,7 @@
         "coordination/silence.py",
         "is_reachable = heard_by in reachable",
         "is_reachable = True",
-        (f"{_SILENT}test_hosts_that_are_not_asked_by_an_entry_host_are_not_forgotten",),
+        (f"{_SILENT}test_upstreams_of_unpolled_control_hosts_stay_in_use",),
     ),
     Mechanism(
         9,
@@ -321,10 +313,7 @@
         "coordination/sync_client.py",
         "        self.entry_count = max(1, *counts)\n",
         "        self.entry_count = max(1, reply.entry_count)\n",
-        (
-            f"{_PARTIAL}"
-            "test_entry_hosts_share_quotas_by_all_that_any_control_host_hears",
-        ),
+        (f"{_PARTIAL}test_entry_count_is_highest_of_any_control_host",),
     ),
     Mechanism(
         9,
@@ -332,7 +321,7 @@
         "coordination/sync_client.py",
         "        if reply.is_in_contact or not any(connected):\n",
         "        if True:\n",
-        (f"{_PARTIAL}test_callers_are_told_of_all_entry_hosts",),
+        (f"{_PARTIAL}test_directory_holds_all_entry_hosts",),
     ),
     Mechanism(
         8,
@@ -390,7 +379,7 @@
         "            needed_on_average, expected_counts, are_losses_clustered\n"
         "        )",
         "needed_now - sum(expected_counts)",
-        (f"{_ORDERING}test_two_zones_in_a_row_leave_enough",),
+        (f"{_ORDERING}test_capacity_suffices_after_two_zone_losses",),
     ),
     Mechanism(
         9,
@@ -398,7 +387,7 @@
         "coordination/autoscaler.py",
         "if is_empty and now - self._started_at < _EMPTY_DISCOVERY_SECONDS:",
         "if is_empty:",
-        (f"{_ORDERING}test_steady_ones_stay_until_reclaimable_ones_stand_again",),
+        (f"{_ORDERING}test_steady_stay_until_reclaimable_run_again",),
     ),
     Mechanism(
         7,
@@ -462,10 +451,7 @@
         "programs/entry_host.py",
         "        self._pools.cut(before.key)\n",
         "        pass\n",
-        (
-            f"{_RESTARTS}"
-            "test_request_at_an_upstream_that_starts_again_is_sent_on_at_once",
-        ),
+        (f"{_RESTARTS}test_request_at_restarted_upstream_is_retried_at_once",),
     ),
     Mechanism(
         9,
@@ -483,7 +469,7 @@
         "            pass\n",
         (
             "tests/relaying/test_directory.py::"
-            "test_entry_hosts_tell_it_while_all_control_hosts_are_down",
+            "test_entry_hosts_serve_it_without_control_hosts",
         ),
     ),
     Mechanism(
@@ -522,7 +508,7 @@
         "coordination/entry_host_catalog.py",
         "if state.version > version",
         "if True",
-        ("tests/relaying/test_entry_host_catalog.py::test_only_what_changed_is_told",),
+        ("tests/relaying/test_entry_host_catalog.py::test_only_changes_are_published",),
     ),
     Mechanism(
         7,
@@ -532,7 +518,7 @@
         "return True",
         (
             "tests/relaying/test_entry_host_catalog.py::"
-            "test_one_control_host_tells_the_others_of_an_entry_host",
+            "test_one_control_host_publishes_an_entry_host",
         ),
     ),
     Mechanism(
@@ -552,6 +538,6 @@
         "coordination/autoscaler.py",
         "state.is_unused = holder.is_first and not demand.peak",
         "state.is_unused = False",
-        (f"{_ORDERING}test_start_of_a_system_gives_back_at_once_what_nobody_asks_for",),
+        (f"{_ORDERING}test_unused_upstreams_are_released_at_system_start",),
     ),
 )
--- a/tests/relaying/test_acknowledged_leaving.py
+++ b/tests/relaying/test_acknowledged_leaving.py
@@ -160,7 +160,7 @@
 
 @pytest.mark.parametrize("entries", ENTRIES)
 @pytest.mark.parametrize("is_end", [False, True])
-async def test_calm_leaving_is_acknowledged_at_once(autojump_clock, entries, is_end):
+async def test_leaving_is_acknowledged_at_once(autojump_clock, entries, is_end):
     async with serving(entries) as scene:
         await trio.sleep(4.0)
         begin = trio.current_time()
@@ -319,7 +319,7 @@
         await trio.sleep(6.0)
 
 
-async def test_late_announcement_brings_nothing_back_after_a_restart(autojump_clock):
+async def test_late_announcement_after_restart_is_ignored(autojump_clock):
     async with serving(5) as scene:
         assert await scene.leave("u", ["c0:1"], is_end=True)
         await scene.restart([*scene.controls, *scene.world.entries], 0.5)
@@ -327,7 +327,7 @@
         await trio.sleep(6.0)
 
 
-async def test_leaving_is_acknowledged_once_all_entry_hosts_have_heard_of_it(
+async def test_leaving_is_acknowledged_once_entry_hosts_applied_it(
     autojump_clock,
 ):
     async with serving(5) as scene:
@@ -340,7 +340,7 @@
 
 
 @pytest.mark.parametrize("incarnation", [None, 5, 6])
-async def test_end_binds_though_its_host_does_not_know_the_upstream(
+async def test_end_of_upstream_unknown_to_control_host_applies(
     autojump_clock, incarnation
 ):
     async with serving(5) as scene:
--- a/tests/relaying/test_autoscaler.py
+++ b/tests/relaying/test_autoscaler.py
@@ -166,7 +166,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_reclaimable_ones_take_the_work_over(autojump_clock):
+async def test_reclaimable_upstreams_replace_steady_ones(autojump_clock):
     async with start_world() as world:
         world.desk.load = 20.0
         assert await world.watch(12.0) >= 4
@@ -176,7 +176,7 @@
 
 @pytest.mark.parametrize("is_dry", [False, True])
 @pytest.mark.parametrize("order", ["ab", "bc", "ca"])
-async def test_two_zones_in_a_row_leave_enough(autojump_clock, is_dry, order):
+async def test_capacity_suffices_after_two_zone_losses(autojump_clock, is_dry, order):
     """The next zone is lost 6 s after the first, with the demand of all along."""
     async with start_world() as world:
         world.desk.load = 22.0
@@ -188,7 +188,7 @@
         assert await world.watch(8.0) >= 22 / REQUESTS_EACH
 
 
-async def test_three_zones_in_a_row_are_made_up_for_at_once(autojump_clock):
+async def test_three_zone_losses_are_replaced_at_once(autojump_clock):
     """As soon as the last one leaves, all the work is ordered, and not by and by."""
     async with start_world() as world:
         world.desk.load = 40.0
@@ -200,7 +200,7 @@
         assert world.platform.count >= 40 / REQUESTS_EACH
 
 
-async def test_mean_of_a_wave_counts_when_a_zone_is_dry(autojump_clock):
+async def test_steady_follow_mean_while_zone_is_exhausted(autojump_clock):
     """Work comes in waves, and the next zone may go in the next one.
 
     Reclaimable ones are there for the waves' peaks, and steady ones make up for the
@@ -220,7 +220,7 @@
         assert await world.watch(6.0) >= (4 * 22 + 6 * 8) / 10 / REQUESTS_EACH
 
 
-async def test_steady_ones_stay_until_reclaimable_ones_stand_again(autojump_clock):
+async def test_steady_stay_until_reclaimable_run_again(autojump_clock):
     """When zones give out some again, the work may just be low for a moment."""
     async with start_world() as world:
         world.desk.load = 40.0
@@ -237,7 +237,7 @@
             assert await world.watch(1.0) >= int(mean / REQUESTS_EACH)
 
 
-async def test_start_of_a_system_gives_back_at_once_what_nobody_asks_for(
+async def test_unused_upstreams_are_released_at_system_start(
     autojump_clock,
 ):
     """Nine upstreams at the full price stand at the start; one a zone stays."""
@@ -249,7 +249,7 @@
         assert kinds and all(kinds)
 
 
-async def test_upstreams_that_are_not_heard_of_yet_are_not_all_given_back(
+async def test_unannounced_upstreams_are_not_all_released(
     autojump_clock,
 ):
     async with start_world() as world:
@@ -266,7 +266,7 @@
 
 
 @pytest.mark.parametrize("load", [0.0, 5.0])
-async def test_later_holder_or_work_gives_nothing_back_at_once(autojump_clock, load):
+async def test_later_holder_or_demand_delays_release(autojump_clock, load):
     """After a restart, what is asked for may not be known yet."""
     async with start_world() as world:
         world.agreement.term = 1 if load else 2
@@ -275,7 +275,7 @@
         assert world.platform.count == 9
 
 
-async def test_plan_is_logged_with_what_is_needed(autojump_clock, monkeypatch):
+async def test_plan_is_logged_with_demand(autojump_clock, monkeypatch):
     events = []
     monkeypatch.setattr(logging, "info", lambda text, *values: events.extend(values))
     async with start_world() as world:
--- a/tests/relaying/test_coordination.py
+++ b/tests/relaying/test_coordination.py
@@ -84,7 +84,7 @@
     assert catalog.working("plain") == []
 
 
-async def test_end_may_be_heard_of_before_the_first_announcement(autojump_clock):
+async def test_end_may_arrive_before_first_announcement(autojump_clock):
     catalog = UpstreamCatalog(trio.current_time)
     catalog.mark_gone("u1")
     catalog.record(Announcement("u1", "plain", "a:1", "z1", sequence=1))
@@ -98,7 +98,7 @@
     assert catalog.get("u1").address == "a:2"
 
 
-async def test_restarted_control_hosts_tell_the_table_before_an_election(
+async def test_restarted_control_hosts_serve_table_before_election(
     autojump_clock,
 ):
     async with open_world() as world:
@@ -133,7 +133,7 @@
         assert entry.is_ready
 
 
-async def test_entry_hosts_ask_a_few_control_hosts(autojump_clock):
+async def test_entry_hosts_poll_a_few_control_hosts(autojump_clock):
     async with open_world(controls=6, entries=4) as world:
         await trio.sleep(3.0)
         for entry in world.entries.values():
@@ -150,7 +150,7 @@
         assert {host.entries.count for host in world.controls.values()} == {4}
 
 
-async def test_next_control_host_is_asked_for_one_that_is_gone(autojump_clock):
+async def test_lost_control_host_is_replaced_by_next(autojump_clock):
     async with open_world(controls=5, entries=1) as world:
         await trio.sleep(3.0)
         entry = world.entries["e0:1"]
@@ -166,7 +166,7 @@
 
 
 @pytest.mark.parametrize("stays", [False, True])
-async def test_restart_of_all_hosts_is_found_out(autojump_clock, stays):
+async def test_restart_of_all_hosts_is_detected(autojump_clock, stays):
     """One entry host that lives on may have spent of the quotas meanwhile."""
     seeds = ("c0:1", "c1:1", "c2:1")
     async with open_world(entries=3) as world:
@@ -185,7 +185,7 @@
         assert {host.sync.has_seen_restart for host in hosts} == {not stays}
 
 
-async def test_lost_and_found_entry_hosts_are_logged(autojump_clock, monkeypatch):
+async def test_contact_changes_of_entry_hosts_are_logged(autojump_clock, monkeypatch):
     contacts = []
 
     def keep(text: str, event: object = None, *_: object) -> None:
--- a/tests/relaying/test_entry_host_catalog.py
+++ b/tests/relaying/test_entry_host_catalog.py
@@ -50,7 +50,7 @@
     return catalog.version
 
 
-def test_only_what_changed_is_told(catalog):
+def test_only_changes_are_published(catalog):
     full = {"desk": 500, "shop": 70}
     for number in range(200):
         catalog.record(
@@ -67,7 +67,7 @@
     assert told.windows == {8: {"desk": 1}}
 
 
-def test_a_report_is_told_by_the_host_that_got_it(catalog, clock):
+def test_relayed_report_is_not_published(catalog, clock):
     other = EntryHostCatalog(clock)
     catalog.record(report(1), True)
     tell(catalog, other, 0)
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_books_told_of_changes_hold_what_a_whole_report_would(clock, seed):
+def test_merged_changes_equal_whole_reports(clock, seed):
     """Differences, lost questions, restarts and other sources, beside whole reports."""
     rng = random.Random(seed)
     one, two, far, whole = (EntryHostCatalog(clock) for _ in range(4))
@@ -142,7 +142,7 @@
             assert catalog.admitted_elsewhere(host) == whole.admitted_elsewhere(host)
 
 
-def test_a_new_source_tells_all_that_it_has_heard(catalog, clock):
+def test_new_publisher_publishes_all_counts(catalog, clock):
     """The source before may have gone with what it hasn't told yet."""
     catalog.record(report(1, admitted={"desk": 5}, windows={6: {"desk": 1}}), False)
     assert catalog.messages_since(0) == []
@@ -155,7 +155,7 @@
     assert told.windows == {6: {"desk": 1}}
 
 
-def test_counts_of_forgotten_lives_are_taken_off(catalog, clock):
+def test_counts_of_removed_incarnations_are_subtracted(catalog, clock):
     catalog.record(report(1, admitted={"desk": 500}), True)
     clock.time += 59.0
     catalog.record(report(2, admitted={"desk": 30}), True)
@@ -165,7 +165,7 @@
     assert catalog.admitted_elsewhere("e2:1") == {"desk": 0}
 
 
-def test_readiness_is_told_at_once_and_silence_in_time(catalog, clock):
+def test_directory_follows_readiness_and_silence(catalog, clock):
     for number in range(6):
         catalog.record(report(number), True)
     assert len(catalog.directory("z1").entries) == 6
@@ -179,7 +179,7 @@
     assert len(catalog.ready()) == 3
 
 
-def test_directories_are_not_kept_for_zones_that_callers_make_up(catalog, monkeypatch):
+def test_no_directory_is_cached_for_unknown_zones(catalog, monkeypatch):
     catalog.record(report(0), True)
     made = []
     make = Directory.from_reports
@@ -191,9 +191,7 @@
     assert len(made) == 1
 
 
-async def test_directories_are_made_when_entry_hosts_change(
-    autojump_clock, monkeypatch
-):
+async def test_directories_are_rebuilt_on_changes_only(autojump_clock, monkeypatch):
     """Each answer made one before: about 390 a second here, and most work of a host."""
     async with open_world(entries=60) as world:
         await trio.sleep(3.0)
@@ -209,7 +207,7 @@
         assert len(world.entries["e8:1"].entry_addresses("z1")) == 59
 
 
-async def test_one_control_host_tells_the_others_of_an_entry_host(autojump_clock):
+async def test_one_control_host_publishes_an_entry_host(autojump_clock):
     """It's asked by three, each of which told the other four."""
     async with open_world(controls=5, entries=10) as world:
         await trio.sleep(3.0)
@@ -231,7 +229,7 @@
             assert len(control.entries.ready()) == 10
 
 
-async def test_reports_age_on_their_way(autojump_clock):
+async def test_transit_time_adds_to_age_of_reports(autojump_clock):
     """An entry host that another control host has lost isn't there for this one."""
     async with open_world(entries=1) as world:
         sync_server = world.controls["c0:1"].sync_server
@@ -271,7 +269,7 @@
             await trio.sleep(1 / rate)
 
 
-async def test_control_traffic_of_a_host_does_not_grow_with_their_number(
+async def test_control_traffic_per_host_is_constant(
     autojump_clock,
 ):
     """With whole reports twice a second, 120 hosts cost each 14 KB/s, and 30 7 KB/s."""
--- a/tests/relaying/test_silence.py
+++ b/tests/relaying/test_silence.py
@@ -80,7 +80,7 @@
     assert judged.is_silent and judged.catalog.working("plain") == []
 
 
-def test_host_without_contact_judges_nothing_nor_right_after():
+def test_host_without_quorum_marks_nothing_silent():
     judged = Judged()
     judged.reached = []
     judged.look_for(60)
@@ -91,7 +91,7 @@
     assert judged.is_silent
 
 
-def test_upstream_of_a_control_host_out_of_reach_is_judged_late():
+def test_upstream_of_unreachable_control_host_is_marked_late():
     judged = Judged()
     judged.clock.time += 0.5
     judged.catalog.record(announcement(sequence=2), told_by="c1", heard_by="c2")
@@ -108,7 +108,7 @@
     assert judged.is_silent
 
 
-def test_host_that_was_frozen_judges_nothing_right_after():
+def test_frozen_host_marks_nothing_silent():
     judged = Judged()
     judged.clock.time += 30.0
     judged.look_for(19)
@@ -133,7 +133,7 @@
     assert judged.is_silent
 
 
-def test_later_start_and_own_word_of_the_end_end_silence():
+def test_restart_and_end_clear_silence():
     judged = Judged()
     judged.look_for(30)
     judged.catalog.record(announcement(incarnation=7))
@@ -143,7 +143,7 @@
     assert not judged.catalog.silent and not judged.catalog.working("plain")
 
 
-def test_told_silence_counts_unless_the_host_has_heard_of_the_upstream_since():
+def test_reported_silence_yields_to_later_announcement():
     judged = Judged()
     judged.look_for(10)
     judged.catalog.record(announcement(sequence=1))
@@ -165,7 +165,7 @@
     assert [each.id for each in judged.catalog.usable("plain")] == ["u2"]
 
 
-def test_long_silent_upstream_is_forgotten_and_may_come_back():
+def test_long_silent_upstream_is_removed_and_may_return():
     judged = Judged()
     forgotten = []
     judged.catalog.subscribe_forgotten(forgotten.append)
@@ -193,7 +193,7 @@
         return KEY in self.catalog.silent
 
 
-def test_one_control_host_that_hears_an_upstream_is_enough():
+def test_one_control_host_keeps_upstream_working():
     voted = Voted()
     voted.votes.record_reply("c0", answer(u1=False))
     voted.votes.record_reply("c1", answer(u1=True))
@@ -204,7 +204,7 @@
     assert not voted.is_silent
 
 
-def test_word_of_a_control_host_that_is_silent_itself_does_not_last():
+def test_vote_of_silent_control_host_expires():
     voted = Voted()
     voted.votes.record_reply("c0", answer(u1=False))
     voted.clock.time += 19.0
@@ -215,7 +215,7 @@
     assert voted.is_silent
 
 
-def test_control_host_that_answers_again_has_said_what_it_said_before():
+def test_vote_counts_again_once_control_host_answers():
     """Its answers tell only what has changed since its last one."""
     voted = Voted()
     for control_host in ("c0", "c1"):
@@ -226,7 +226,7 @@
     assert voted.is_silent
 
 
-def test_restarted_control_host_has_said_nothing_yet():
+def test_restarted_control_host_has_no_votes():
     voted = Voted()
     voted.votes.record_reply("c0", answer(u1=True))
     assert voted.is_silent
@@ -238,7 +238,7 @@
 
 
 @given(st.lists(ANSWERS, min_size=1, max_size=20))
-def test_silent_is_what_all_of_the_latest_answers_call_so(answers):
+def test_silent_requires_all_latest_votes(answers):
     voted = Voted()
     told: dict[str, bool] = {}
     for control_host, is_silent, epoch in answers:
@@ -256,7 +256,7 @@
 
 
 @pytest.mark.parametrize("is_disk_lost", [False, True])
-async def test_restart_of_a_control_host_does_not_bring_an_ended_one_back(
+async def test_control_host_restart_keeps_ended_upstream_silent(
     autojump_clock, is_disk_lost
 ):
     async with open_world() as world:
@@ -271,7 +271,7 @@
                 assert working(host) == []
 
 
-async def test_entry_host_that_missed_a_control_host_keeps_to_what_all_say(
+async def test_reconnected_control_host_keeps_upstream_silent(
     autojump_clock,
 ):
     async with open_world() as world:
@@ -295,7 +295,7 @@
         assert working(world.entries["e9:1"]) == []
 
 
-async def test_silent_upstream_is_forgotten_by_all_hosts(autojump_clock, monkeypatch):
+async def test_silent_upstream_is_removed_on_all_hosts(autojump_clock, monkeypatch):
     for host in ("control_host", "entry_host"):
         name = f"pepperstep.programs.{host}._FORGET_SECONDS"
         monkeypatch.setattr(name, 30.0)
--- a/tests/relaying/test_table_changes.py
+++ b/tests/relaying/test_table_changes.py
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("place", [0, MANY_ROUTES // 2, -1])
-async def test_small_change_on_top_of_them_is_small(autojump_clock, place):
+async def test_small_change_of_large_table_is_small(autojump_clock, place):
     async with open_slow_world() as world:
         slow_links(world)
         added = routes(MANY_ROUTES)
@@ -115,7 +115,7 @@
         await wait_for(lambda: is_in_force(world, 14), SMALL_IN_FORCE_SECONDS)
 
 
-async def test_many_routes_while_the_leader_is_cut_off(autojump_clock):
+async def test_many_routes_during_leader_isolation(autojump_clock):
     async with open_slow_world() as world:
         slow_links(world)
         await trio.sleep(2.0)
@@ -134,7 +134,7 @@
         await wait_for(lambda: is_in_force(world, 2), 2 * MANY_IN_FORCE_SECONDS)
 
 
-async def test_host_that_has_nothing_gets_a_huge_table(autojump_clock):
+async def test_new_host_receives_a_huge_table(autojump_clock):
     """Within 2.5 s of its link's time for the compressed document."""
     async with open_slow_world(entries=2) as world:
         data = document_with(2, routes(HUGE_ROUTES))
@@ -148,7 +148,7 @@
         await wait_for(lambda: late.tables.current.version == 2, link_seconds + 2.5)
 
 
-async def test_all_hosts_that_start_with_nothing(autojump_clock):
+async def test_all_hosts_start_without_a_table(autojump_clock):
     async with open_slow_world() as world:
         await world.put(2, document_with(2, routes(MANY_ROUTES)))
         await trio.sleep(1.0)
@@ -162,7 +162,7 @@
         await wait_for(lambda: is_in_force(world, 2), MANY_IN_FORCE_SECONDS)
 
 
-async def test_transfer_goes_on_at_another_control_host(autojump_clock):
+async def test_transfer_continues_at_another_control_host(autojump_clock):
     """The control host that a table is fetched from is lost amid it."""
     async with open_slow_world(entries=1) as world:
         data = document_with(2, routes(HUGE_ROUTES // 4))
--- a/tests/relaying/test_upstream_restarts.py
+++ b/tests/relaying/test_upstream_restarts.py
@@ -69,9 +69,7 @@
     assert catalog.working("plain") == []
 
 
-async def test_upstream_that_started_again_is_not_forgotten_among_gone_ones(
-    autojump_clock, monkeypatch
-):
+async def test_restarted_upstream_is_not_removed_as_gone(autojump_clock, monkeypatch):
     monkeypatch.setattr(
         "pepperstep.coordination.upstream_catalog._MAX_GONE_UPSTREAMS", 1
     )
@@ -136,7 +134,7 @@
         assert known.is_leaving == any(each.is_leaving for each in alive)
 
 
-async def test_entry_host_forgets_what_a_restarted_upstream_kept(autojump_clock):
+async def test_entry_host_drops_cache_state_of_restarted_upstream(autojump_clock):
     async with open_world() as world:
         await world.put(1)
         entry = world.entries["e0:1"]
@@ -159,7 +157,7 @@
         assert prompts.missing_tokens(upstream.key, parts) == 8000
 
 
-async def test_request_at_an_upstream_that_starts_again_is_sent_on_at_once(
+async def test_request_at_restarted_upstream_is_retried_at_once(
     autojump_clock,
 ):
     async with open_world() as world:
@@ -183,7 +181,7 @@
         assert [each.status for each in got] == [200]
 
 
-async def test_leaving_is_told_again_by_a_later_start(autojump_clock):
+async def test_later_incarnation_can_leave_again(autojump_clock):
     async with open_world() as world:
         await world.announce("c1:1", "u1", "plain", incarnation=BEFORE)
         await world.announce(
@@ -220,7 +218,7 @@
 
 
 @pytest.mark.parametrize("changes", FOREIGN)
-async def test_heartbeat_of_another_writer_names_no_upstream(autojump_clock, changes):
+async def test_invalid_heartbeat_adds_no_upstream(autojump_clock, changes):
     async with open_world() as world:
         await world.put(1)
         await trio.sleep(0.5)
@@ -236,7 +234,7 @@
 @pytest.mark.parametrize(
     "missing", ["service", "address", "zone", "slots", "state", "sequence"]
 )
-async def test_heartbeat_without_a_field_names_no_upstream(autojump_clock, missing):
+async def test_heartbeat_without_a_field_adds_no_upstream(autojump_clock, missing):
     async with open_world() as world:
         await world.put(1)
         await trio.sleep(0.5)
@@ -252,7 +250,7 @@
     noise=st.binary(max_size=6),
     path=st.sampled_from(["Heartbeat", "Deregister"]),
 )
-def test_bytes_that_are_no_message_are_refused(cut, noise, path):
+def test_corrupt_messages_are_refused(cut, noise, path):
     body = json.dumps(BEAT).encode()
     body = body[:cut] + noise + body[cut + len(noise) :]
 
@@ -275,7 +273,7 @@
         assert await beat(host, b'{"born": 1.5}', call="Deregister") == 400
 
 
-async def test_upstream_of_a_service_that_no_table_names_is_refused(autojump_clock):
+async def test_upstream_of_unknown_service_is_refused(autojump_clock):
     services = [{"name": name} for name in ("plain", "model", "later")]
     async with open_world() as world:
         host = world.controls["c0:1"]
--- a/tests/relaying/test_upstream_views.py
+++ b/tests/relaying/test_upstream_views.py
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-async def test_entry_hosts_count_on_all_upstreams_that_live(autojump_clock, seed):
+async def test_entry_hosts_use_all_live_upstreams(autojump_clock, seed):
     async with open_world(seed=seed) as world, trio.open_nursery() as nursery:
         views = Views(world, seed)
         for number in range(6):
@@ -127,7 +127,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_upstream_that_crashed_counts_as_silent_beside_a_short_cut(
+async def test_crashed_upstream_becomes_silent_despite_a_short_cut(
     autojump_clock,
 ):
     async with open_world() as world, trio.open_nursery() as nursery:
