--- a/tests/relaying/test_acknowledged_leaving.py
+++ b/tests/relaying/test_acknowledged_leaving.py
@@ -1,4 +1,7 @@
-"""Upstreams whose leaving was acknowledged, through troubles of hosts."""
+"""No requests reach an upstream after the acknowledgement that it leaves.
+
+Host restarts, network cuts and frozen hosts must not break this.
+"""
 
 import random
 from collections import defaultdict
@@ -16,10 +19,10 @@
 SEEDS = ("c0:1", "c1:1", "c2:1")
 RATE = 40.0
 ENTRIES = [5, 12, 55]
-# Time after an acknowledgement in which a request may still follow, in seconds.
+# Time after an acknowledgement during which requests may still arrive, in seconds.
 NOTICE = 2.0
-# Time for which a host is excused that was frozen, or out of reach of most control
-# hosts, in seconds.
+# Time for which a host that was frozen, or cut off from most control hosts, may send
+# late requests, in seconds.
 EXCUSE = 3.0
 # Time that an upstream waits for an answer, and between its announcements, in seconds.
 ANSWER = 1.0
@@ -29,10 +32,10 @@
 
 @dataclass
 class Upstreams:
-    """What reached upstreams, and when their leaving was acknowledged."""
+    """The requests that reached upstreams, and the acknowledgements of departures."""
 
     acknowledged: dict[str, float] = field(default_factory=dict)
-    # Times and hosts by upstream.
+    # Times and sending hosts by upstream.
     arrivals: dict[str, list[tuple[float, str]]] = field(
         default_factory=lambda: defaultdict(list)
     )
@@ -45,7 +48,7 @@
         return Reply(AnswerHead(200, ((b"pepperstep-attempt-id", b"id-1"),)))
 
     def late(self) -> list[tuple[str, float, str]]:
-        """Return upstream, delay and host of what came too late."""
+        """Return upstream, delay and sending host of each late request."""
         return [
             (name, round(time - told, 2), host)
             for name, told in self.acknowledged.items()
@@ -58,7 +61,7 @@
 
 
 class Scene:
-    """A world under load, whose upstreams leave."""
+    """A world under load whose upstreams leave."""
 
     def __init__(self, world, controls: int, nursery: trio.Nursery):
         self.world = world
@@ -73,7 +76,7 @@
         await self.world.announce(host, name, "plain", **facts)
 
     async def leave(self, name: str, hosts: list[str], *, is_end: bool = False) -> bool:
-        """Let an upstream say at hosts in turn that it leaves, until one agrees."""
+        """Announce at hosts in turn that an upstream leaves, until one acknowledges."""
         for sequence, host in enumerate(hosts, start=2):
             with trio.move_on_after(ANSWER), suppress(Failure):
                 if host not in self.world.controls:
@@ -89,7 +92,7 @@
         return False
 
     async def restart(self, names: list[str], seconds: float, **facts) -> None:
-        """Kill hosts at once, and start them again."""
+        """Kill hosts together and start them again after a pause in seconds."""
         names = [
             each
             for each in names
@@ -115,7 +118,7 @@
             await trio.sleep(self.world.rng.expovariate(RATE))
 
     async def watch_contact(self) -> None:
-        """Note which entry hosts can't reach most control hosts."""
+        """Excuse the entry hosts that can't reach most control hosts."""
         network = self.world.network
         while True:
             for name in self.world.entries:
@@ -128,7 +131,7 @@
             await trio.sleep(0.1)
 
     def excuse(self, name: str) -> None:
-        """Excuse an entry host for a while."""
+        """Allow an entry host late requests for a while."""
         self.upstreams.excused[name].append(trio.current_time())
 
     async def _ask(self, name: str) -> None:
@@ -141,7 +144,7 @@
 
 @asynccontextmanager
 async def serving(entries: int, controls: int = 3, seed: int = 0):
-    """Give a scene with a steady upstream and one that may leave, `u`."""
+    """Yield a scene with a permanent upstream and one that may leave, `u`."""
     losses = (controls - 1) // 2
     async with (
         open_world(controls, entries, seed, losses) as world,
@@ -171,14 +174,14 @@
 
 
 async def repeat_at_a_host_cut_off(scene: Scene, is_end: bool) -> None:
-    """Say it again and again at a control host that nobody else reaches."""
+    """Announce it repeatedly at a control host that is cut off from all others."""
     everyone = [*scene.controls, *scene.world.entries]
     scene.world.cut_off("c0:1", everyone)
     await scene.leave("u", ["c0:1", "c0:1", "c0:1"], is_end=is_end)
 
 
 async def say_it_at_a_minority(scene: Scene, is_end: bool) -> None:
-    """Say it to control hosts that are cut off from the others only."""
+    """Announce it at control hosts that are cut off from the majority only."""
     minority = scene.controls[: (len(scene.controls) - 1) // 2]
     for name in minority:
         scene.world.cut_off(name, set(scene.controls) - set(minority))
@@ -186,7 +189,7 @@
 
 
 async def say_it_at_a_majority(scene: Scene, is_end: bool) -> None:
-    """Say it to most control hosts, while callers' hosts reach the others as well."""
+    """Announce it at the majority, while entry hosts reach the minority too."""
     minority = scene.controls[: (len(scene.controls) - 1) // 2]
     majority = sorted(set(scene.controls) - set(minority))
     for name in minority:
@@ -201,7 +204,7 @@
 
 
 async def say_it_to_an_empty_host(scene: Scene, is_end: bool) -> None:
-    """Say it to a control host without a disk that finds nobody."""
+    """Announce it at an isolated control host that has lost its disk."""
     scene.world.cut_off("c1:1", [*scene.controls, *scene.world.entries])
     await scene.restart(["c1:1"], 0.1, is_disk_lost=True)
     await scene.leave("u", ["c1:1"], is_end=is_end)
@@ -210,7 +213,7 @@
 async def restart_control_hosts_while_entry_hosts_are_dark(
     scene: Scene, is_end: bool
 ) -> None:
-    """Entry hosts that come back ask control hosts that have come back, too."""
+    """Restart the control hosts while some entry hosts are down."""
     entries = sorted(scene.world.entries)
     for name in entries[::2]:
         scene.world.kill(name)
@@ -222,7 +225,7 @@
 
 
 def drawn_by(seed: int):
-    """Return the troubles of a seed, through which many upstreams leave."""
+    """Return random faults by seed, during which many upstreams leave."""
 
     async def make_troubles(scene: Scene, is_end: bool) -> None:
         rng = random.Random(seed)
@@ -266,7 +269,7 @@
 
 
 async def _cut_controls(scene: Scene, rng: random.Random) -> None:
-    """Cut control hosts in unequal parts; entry hosts reach both, or one part only."""
+    """Cut the control hosts in two parts; entry hosts reach both or only one."""
     count = rng.randint(1, len(scene.controls) - 1)
     part = set(rng.sample(scene.controls, count))
     names = sorted(scene.world.entries)
--- a/tests/relaying/test_autoscaler.py
+++ b/tests/relaying/test_autoscaler.py
@@ -1,4 +1,4 @@
-"""What stands of a service while zones take their reclaimable upstreams back."""
+"""Ordering of upstreams while zones reclaim theirs."""
 
 import dataclasses
 import json
@@ -26,7 +26,7 @@
 
 ZONES = ("a", "b", "c")
 BOOT_SECONDS = 4.0
-# An engine that works on so many requests makes none of them wait.
+# Requests that an engine handles concurrently without making any wait.
 REQUESTS_EACH = 5
 SCALING = {
     "min_replicas": 1,
@@ -38,7 +38,7 @@
 
 
 class FakeAgreementState:
-    """A log of which only leader and term are asked."""
+    """The leader and the term of a log."""
 
     def __init__(self) -> None:
         self.is_leader = True
@@ -46,18 +46,18 @@
 
 
 class FakeDesk:
-    """Entry hosts' reports, as far as the work under way goes."""
+    """A catalog of entry hosts that knows only their work in flight."""
 
     def __init__(self) -> None:
         self.load = 0.0
 
     def work_of(self, service: str) -> ServiceWork:
-        # An upstream that reads for 0.6 of its time makes no request wait.
+        # An upstream can read prompts for 0.6 of its time without making requests wait.
         return ServiceWork(self.load, 0.6 * self.load / REQUESTS_EACH)
 
 
 class FakePlatform:
-    """Starts and stops upstreams as ordered, and takes zones' reclaimable ones."""
+    """Starts and stops upstreams as ordered, and reclaims those of a zone."""
 
     def __init__(self, catalog: UpstreamCatalog, nursery: trio.Nursery):
         self.is_dry = False
@@ -75,7 +75,7 @@
         return len(self._catalog.working("model"))
 
     def steady_orders(self) -> dict[str, int]:
-        """Return the latest order for steady ones of each zone."""
+        """Return the latest order for steady upstreams of each zone."""
         wanted = self._wanted.items()
         return {zone: count for (zone, kind), count in wanted if not kind}
 
@@ -103,7 +103,7 @@
             self._note(name, key)
 
     async def reclaim(self, zone: str, seconds: float = 2.3) -> None:
-        """Announce the end of a zone's reclaimable upstreams, then end them."""
+        """Announce that a zone's reclaimable upstreams leave, then end them."""
         leaving = self._standing.pop((zone, True), [])
         self._wanted.pop((zone, True), None)
         for name in leaving:
@@ -119,7 +119,7 @@
 
 
 class World:
-    """One control host's ordering against the platform's model."""
+    """One control host's autoscaler and a fake platform."""
 
     def __init__(self, nursery: trio.Nursery):
         self._nursery = nursery
@@ -146,11 +146,11 @@
         nursery.start_soon(self.autoscaler.run)
 
     def reclaim(self, zone: str) -> None:
-        """Let the platform take a zone's reclaimable upstreams back."""
+        """Let the platform reclaim a zone's upstreams."""
         self._nursery.start_soon(self.platform.reclaim, zone)
 
     async def watch(self, seconds: float) -> int:
-        """Return the least count of upstreams that stand in the next seconds."""
+        """Return the lowest number of running upstreams in the next seconds."""
         least = self.platform.count
         for _ in range(int(seconds / 0.1)):
             await trio.sleep(0.1)
@@ -160,7 +160,7 @@
 
 @asynccontextmanager
 async def start_world():
-    """Give one control host that orders for a service with three steady upstreams."""
+    """Yield a world with an autoscaler and three steady upstreams in each zone."""
     async with trio.open_nursery() as nursery:
         yield World(nursery)
         nursery.cancel_scope.cancel()
@@ -177,7 +177,7 @@
 @pytest.mark.parametrize("is_dry", [False, True])
 @pytest.mark.parametrize("order", ["ab", "bc", "ca"])
 async def test_capacity_suffices_after_two_zone_losses(autojump_clock, is_dry, order):
-    """The next zone is lost 6 s after the first, with the demand of all along."""
+    """The second zone is lost 6 s after the first, while the demand stays."""
     async with start_world() as world:
         world.desk.load = 22.0
         await trio.sleep(12.0)
@@ -189,7 +189,7 @@
 
 
 async def test_three_zone_losses_are_replaced_at_once(autojump_clock):
-    """As soon as the last one leaves, all the work is ordered, and not by and by."""
+    """All capacity is ordered as soon as the last zone leaves."""
     async with start_world() as world:
         world.desk.load = 40.0
         await trio.sleep(12.0)
@@ -201,10 +201,10 @@
 
 
 async def test_steady_follow_mean_while_zone_is_exhausted(autojump_clock):
-    """Work comes in waves, and the next zone may go in the next one.
+    """Demand alternates, and the next zone may be lost in any phase.
 
-    Reclaimable ones are there for the waves' peaks, and steady ones make up for the
-    mean: the peak of 22 would cost half as much again for as many answers in time.
+    Reclaimable upstreams cover the peak and steady ones only the mean: covering the
+    peak of 22 would cost half as much again and answer no more requests in time.
     """
     async with start_world() as world:
         world.desk.load = 22.0
@@ -221,7 +221,7 @@
 
 
 async def test_steady_stay_until_reclaimable_run_again(autojump_clock):
-    """When zones give out some again, the work may just be low for a moment."""
+    """Demand may be low just when zones provide upstreams again."""
     async with start_world() as world:
         world.desk.load = 40.0
         await trio.sleep(12.0)
@@ -240,7 +240,7 @@
 async def test_unused_upstreams_are_released_at_system_start(
     autojump_clock,
 ):
-    """Nine upstreams at the full price stand at the start; one a zone stays."""
+    """Nine upstreams run at the full price at first; one in each zone stays."""
     async with start_world() as world:
         await trio.sleep(2.0)
         assert world.platform.count == len(ZONES)
@@ -267,7 +267,7 @@
 
 @pytest.mark.parametrize("load", [0.0, 5.0])
 async def test_later_holder_or_demand_delays_release(autojump_clock, load):
-    """After a restart, what is asked for may not be known yet."""
+    """After a restart, the demand may not be known yet."""
     async with start_world() as world:
         world.agreement.term = 1 if load else 2
         world.desk.load = load
@@ -288,7 +288,7 @@
 
 
 async def test_new_holder_orders_soon(autojump_clock):
-    """The loss of a zone may come with that of the host that has ordered."""
+    """A zone may be lost together with the host that ordered its upstreams."""
     async with start_world() as world:
         world.agreement.is_leader = False
         world.desk.load = 22.0
@@ -300,9 +300,9 @@
         await trio.sleep(2.6)
         first, holder, fence = world.platform.orders[0]
         assert (holder, fence) == ("c0", 2)
-        # Two hosts that take turns must leave a lease between one's own acts.
+        # Two hosts that take turns must leave a lease between a host's own acts.
         assert first >= 12.0 + 2 / 3 * 3.0
         await trio.sleep(BOOT_SECONDS)
-        # Ordered for the peak that this host has seen before it was the holder.
+        # The order covers the peak that this host saw before it became the holder.
         reclaimable = [e for e in world.catalog.working("model") if e.is_reclaimable]
         assert len(reclaimable) >= 9
--- a/tests/relaying/test_coordination.py
+++ b/tests/relaying/test_coordination.py
@@ -1,4 +1,4 @@
-"""Route tables, upstreams and entry hosts as all hosts come to know them."""
+"""Distribution of route tables, upstreams and entry hosts to all hosts."""
 
 import pytest
 import trio
@@ -34,7 +34,7 @@
     async with open_world() as world:
         assert all(len(h.entry_addresses("z1")) == 2 for h in world.controls.values())
         world.kill("e0:1")
-        # Control hosts tell each other what it said last, for as long as they live.
+        # Control hosts relay its last report until it's too old.
         await trio.sleep(2.5)
         for host in world.controls.values():
             assert host.entry_addresses("z1") == ["e1:1:callers"]
@@ -140,7 +140,7 @@
             assert len(entry.sync.reached) == 3
         asked = {name for host in world.entries.values() for name in host.sync.reached}
         assert len(asked) >= 5
-        # What one control host hears is known to all entry hosts soon.
+        # State received by one control host soon reaches all entry hosts.
         await world.put(2)
         await world.announce("c5:1", "u1", "plain")
         await trio.sleep(0.3)
@@ -167,7 +167,7 @@
 
 @pytest.mark.parametrize("stays", [False, True])
 async def test_restart_of_all_hosts_is_detected(autojump_clock, stays):
-    """One entry host that lives on may have spent of the quotas meanwhile."""
+    """An entry host that kept running may have admitted requests meanwhile."""
     seeds = ("c0:1", "c1:1", "c2:1")
     async with open_world(entries=3) as world:
         await trio.sleep(2.0)
@@ -179,7 +179,7 @@
         for name in seeds:
             await world.start_control(name, seeds, is_first=False)
         await trio.sleep(0.2)
-        # What is allowed is shared by all, though not all have come back.
+        # Quotas are shared by all entry hosts, although one hasn't returned.
         assert world.controls["c0:1"].entries.count == 3
         await trio.sleep(2.0)
         assert {host.sync.has_seen_restart for host in hosts} == {not stays}
--- a/tests/relaying/test_directory.py
+++ b/tests/relaying/test_directory.py
@@ -1,4 +1,4 @@
-"""Where callers connect, as control hosts and entry hosts tell it."""
+"""The directory for callers, served by control hosts and entry hosts."""
 
 import trio
 
@@ -90,7 +90,10 @@
 
 
 def test_a_zone_with_many_entry_hosts_gets_its_own_and_few_others():
-    """With 64 addresses, a third of the callers' traffic went to other zones."""
+    """Guards against traffic between zones.
+
+    With 64 addresses in each directory, a third of the callers' traffic crossed zones.
+    """
     reports = reports_of({"a": 41, "b": 36, "c": 40, "d": 35, "e": 39})
     named = {
         zone: Directory.from_reports(reports, zone).addresses(zone) for zone in "abcde"
@@ -106,7 +109,7 @@
         for address in addresses
         if not address.startswith(zone)
     ]
-    # So that no host gets much of the other zones' traffic.
+    # No host receives much of the other zones' traffic.
     assert max(others.count(address) for address in others) <= 2
 
 
@@ -121,7 +124,7 @@
     reports = reports_of({"a": 90, "b": 100})
     keepers = Directory.from_reports(reports, "a").keepers
     assert keepers == Directory.from_reports(reports[::-1], "b").keepers
-    # Each keeper costs each host a connection, with threads of its own.
+    # Each keeper costs each host a connection, with its own threads.
     assert len(keepers) == 16
     rest = [report for report in reports if report.host != keepers[0]]
     assert len(set(Directory.from_reports(rest, "a").keepers) - set(keepers)) == 1
--- a/tests/relaying/test_entry_host_catalog.py
+++ b/tests/relaying/test_entry_host_catalog.py
@@ -1,4 +1,4 @@
-"""What a control host keeps of entry hosts, and what it tells other control hosts."""
+"""A control host's catalog of entry hosts, and what it publishes of it."""
 
 import random
 
@@ -15,7 +15,7 @@
 
 
 class Clock:
-    """Monotonic time that a test sets."""
+    """A monotonic clock that a test sets."""
 
     def __init__(self):
         self.time = 100.0
@@ -44,7 +44,7 @@
 
 
 def tell(catalog: EntryHostCatalog, other: EntryHostCatalog, since: int) -> int:
-    """Let one book's host tell another's what is new, and return the version told."""
+    """Send a catalog's changes to another host's catalog; return the new version."""
     for message in catalog.messages_since(since):
         other.record_relayed(EntryReport.from_message(message), message.age)
     return catalog.version
@@ -76,7 +76,7 @@
 
 
 class Asker:
-    """An entry host that reports differences to two control hosts."""
+    """An entry host that reports its changes to two control hosts."""
 
     def __init__(self, number: int, books: list[EntryHostCatalog]):
         self.report = report(number)
@@ -94,7 +94,7 @@
         self._set(self.report.incarnation, admitted=admitted, windows=windows)
 
     def tell(self, is_answered=(True, True), arrives: bool = True) -> None:
-        """Report to both; a question without an answer may have arrived."""
+        """Report to both; a report without a reply may have arrived."""
         for index, catalog in enumerate(self._books):
             if is_answered[index] or arrives:
                 news = self.report.changed_since(self._told[index])
@@ -102,7 +102,7 @@
             self._told[index] = self.report if is_answered[index] else None
 
     def restart(self) -> None:
-        """Begin a new life."""
+        """Start a new incarnation."""
         self._set(self.report.incarnation + 1)
         self._told = [None, None]
 
@@ -112,7 +112,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_merged_changes_equal_whole_reports(clock, seed):
-    """Differences, lost questions, restarts and other sources, beside whole reports."""
+    """Covers lost requests, restarts and changes of the publisher."""
     rng = random.Random(seed)
     one, two, far, whole = (EntryHostCatalog(clock) for _ in range(4))
     askers = [Asker(number, [one, two]) for number in range(5)]
@@ -143,7 +143,7 @@
 
 
 def test_new_publisher_publishes_all_counts(catalog, clock):
-    """The source before may have gone with what it hasn't told yet."""
+    """The publisher before may have failed before publishing some counts."""
     catalog.record(report(1, admitted={"desk": 5}, windows={6: {"desk": 1}}), False)
     assert catalog.messages_since(0) == []
     catalog.record(report(2), True)
@@ -192,7 +192,10 @@
 
 
 async def test_directories_are_rebuilt_on_changes_only(autojump_clock, monkeypatch):
-    """Each answer made one before: about 390 a second here, and most work of a host."""
+    """Guards against rebuilding the directory for each reply.
+
+    That was about 390 times a second here, and most of a control host's work.
+    """
     async with open_world(entries=60) as world:
         await trio.sleep(3.0)
         made = []
@@ -208,7 +211,7 @@
 
 
 async def test_one_control_host_publishes_an_entry_host(autojump_clock):
-    """It's asked by three, each of which told the other four."""
+    """Guards against all three polled control hosts publishing to the other four."""
     async with open_world(controls=5, entries=10) as world:
         await trio.sleep(3.0)
         told = 0
@@ -220,9 +223,9 @@
 
         world.network.before = count
         await trio.sleep(5.0)
-        # Twice a second at most, to each of four.
+        # At most twice a second to each of four control hosts.
         assert 0 < told <= 10 * 4 * 2 * 5
-        # Another one does once that one is lost.
+        # Another control host replaces a publisher that is lost.
         world.kill("c0:1")
         await trio.sleep(3.0)
         for control in world.controls.values():
@@ -230,7 +233,7 @@
 
 
 async def test_transit_time_adds_to_age_of_reports(autojump_clock):
-    """An entry host that another control host has lost isn't there for this one."""
+    """An entry host whose report is too old on arrival isn't in the directory."""
     async with open_world(entries=1) as world:
         sync_server = world.controls["c0:1"].sync_server
         for number, age in ((7, 0.1), (8, 1.0)):
@@ -244,7 +247,7 @@
 
 
 async def open_routes(world) -> None:
-    """Put a table in force whose workspaces each have a quota, and an upstream."""
+    """Put a table with a quota for each workspace in force, and add an upstream."""
     workspaces = [
         {"name": f"w{number}", "api_keys": [f"key-{number}"], "rate_per_s": 1e6}
         | {"burst": 1e6}
@@ -272,7 +275,11 @@
 async def test_control_traffic_per_host_is_constant(
     autojump_clock,
 ):
-    """With whole reports twice a second, 120 hosts cost each 14 KB/s, and 30 7 KB/s."""
+    """Guards against traffic that grows with the number of entry hosts.
+
+    With whole reports twice a second, each host sent 7 KB/s with 30 hosts and 14 KB/s
+    with 120.
+    """
     rates = {}
     for count in (30, 120):
         async with open_world(controls=5, entries=count) as world:
--- a/tests/relaying/test_leaving_upstreams.py
+++ b/tests/relaying/test_leaving_upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams that say in their answers that they leave."""
+"""Upstreams that state in their answers that they leave."""
 
 from dataclasses import dataclass, field
 
@@ -10,14 +10,14 @@
 from tests.relaying.upstreams import serving
 from tests.relaying.world import request
 
-# Time after an answer that says so in which a request may still follow, in seconds.
+# Time after the first such answer during which requests may still arrive, in seconds.
 NOTICE = 2.0
 LEAVES_AT = 10.0
 
 
 @dataclass
 class Upstream:
-    """An upstream whose answers say from a time on that it leaves."""
+    """An upstream whose answers state that it leaves, from `leaves_at` on."""
 
     leaves_at: float = float("inf")
     status: int = 200
@@ -34,12 +34,12 @@
         return Reply(AnswerHead(self.status, tuple(headers)), (b"data: 1\n\n",))
 
     def since(self, begin: float) -> int:
-        """Return the requests that arrived since a time."""
+        """Return the number of requests since a time."""
         return sum(each >= begin for each in self.arrivals)
 
 
 async def ask_all(world, seconds: float, path: str = "/safe/1") -> list[int]:
-    """Send requests to all entry hosts in turn, and return what callers got."""
+    """Send requests to all entry hosts in turn and return the answers' statuses."""
     statuses = []
     end = trio.current_time() + seconds
     while trio.current_time() < end:
@@ -90,7 +90,7 @@
 async def test_announcement_across_a_cut_resets_nothing(
     autojump_clock,
 ):
-    """The control hosts that miss its word hear on of the upstream as working."""
+    """Control hosts on the other side still receive the upstream's heartbeats."""
     leaving = Upstream(LEAVES_AT)
     async with serving([leaving, Upstream()], controls=5) as world:
         for name in ("c0:1", "c1:1"):
--- a/tests/relaying/test_lost_contact.py
+++ b/tests/relaying/test_lost_contact.py
@@ -1,4 +1,4 @@
-"""What a control host that is cut off from most others answers, and how soon."""
+"""A control host without contact to most others refuses requests at once."""
 
 import pytest
 import trio
@@ -9,26 +9,26 @@
 from tests.relaying.world import document, open_world
 
 SEEDS = ("c0:1", "c1:1", "c2:1")
-# Time until a host that was cut off knows it, in seconds.
+# Time until an isolated host detects it, in seconds.
 NOTICE_SECONDS = 3.0
 
 
 def put(host):
-    """Send a change."""
+    """Propose a table."""
     return host.put_table(9, document(9))
 
 
 def read(host):
-    """Ask for the newest change."""
+    """Read the table."""
     return host.read_table()
 
 
 @pytest.mark.parametrize("ask", [put, read])
 @pytest.mark.parametrize("name", SEEDS)
 async def test_host_that_is_cut_off_refuses_at_once(autojump_clock, name, ask):
-    """So that who asks goes to the next host: waiting took 0.8 to 0.9 s."""
+    """Guards against clients waiting 0.8 to 0.9 s before they try the next host."""
     async with open_world() as world:
-        # Hosts that have just started find each other yet, and wait.
+        # After a start, hosts wait for each other instead.
         await trio.sleep(5.0)
         world.cut_off(name)
         await trio.sleep(NOTICE_SECONDS)
@@ -50,7 +50,7 @@
             )
             leader = world.network._peers[world.leader]
             await leader.receive(codec.encode(join, "x"))
-            # One change of the membership at a time.
+            # The group changes its membership one step at a time.
             await trio.sleep(0.5)
         await trio.sleep(4.0)
         for host in world.controls.values():
--- a/tests/relaying/test_partial_views.py
+++ b/tests/relaying/test_partial_views.py
@@ -1,7 +1,7 @@
-"""What a control host tells that hears of a part of the entry hosts only.
+"""A control host that hears only some entry hosts must not shrink the others' view.
 
-The cause is that of `test_silent_upstreams`: what one host doesn't hear isn't there
-for it, and entry hosts took the latest answer of any control host for the whole.
+Entry hosts used the latest reply of any control host. So the reply of one that was cut
+off from most entry hosts reduced the number that share quotas, and the directory.
 """
 
 import pytest
@@ -13,7 +13,7 @@
 from pepperstep.ports.exchange import AnswerHead
 from tests.relaying.world import KEY, document, open_world, request
 
-# Longer than control hosts count a silent entry host.
+# Longer than control hosts count an entry host without reports.
 LONG_SECONDS = 17.0
 
 
@@ -25,7 +25,8 @@
         for _ in range(40):
             await trio.sleep(0.1)
             assert world.entries["e0:1"].sync.entry_count == 4
-        # One that has ended is counted no longer, once nobody hears of it.
+        # An entry host that has ended is no longer counted once no control host hears
+        # it.
         world.kill("e3:1")
         await trio.sleep(LONG_SECONDS)
         assert world.entries["e0:1"].sync.entry_count == 3
--- a/tests/relaying/test_platform.py
+++ b/tests/relaying/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's files and messages, decoded into the product's types."""
+"""Decoding of the platform's files and messages."""
 
 import json
 
@@ -31,7 +31,7 @@
 
 
 def read(tmp_path, table) -> object:
-    """Return the settings in a file with `table`."""
+    """Write `table` to a settings file and return the settings read from it."""
     path = tmp_path / "settings.json"
     path.write_text(json.dumps(table))
     return read_platform_settings(path)
--- a/tests/relaying/test_scaling.py
+++ b/tests/relaying/test_scaling.py
@@ -1,4 +1,4 @@
-"""Which upstreams the plan asks for."""
+"""Planned numbers of upstreams by zone and kind."""
 
 import pytest
 
@@ -14,12 +14,12 @@
 
 ZONES = ("a", "b", "c")
 BOUNDS = ScalingBounds(1, 6, 4.0, 0.2, {"a": 0.85, "b": 1.2, "c": 1.0})
-# Requests that an upstream works on at the same time in this model.
+# Requests that an upstream handles concurrently in these tests.
 REQUESTS_EACH = 5
 
 
 def requests(peak: float, present: float, mean: float | None = None) -> Demand:
-    """Return what so many requests under way need; the mean is the peak by default."""
+    """Return the demand of requests in flight; the mean defaults to the peak."""
     mean = peak if mean is None else mean
     return Demand(peak / REQUESTS_EACH, present / REQUESTS_EACH, mean / REQUESTS_EACH)
 
@@ -36,10 +36,11 @@
     coming=None,
     are_losses_clustered=False,
 ):
-    """Return the plan where `standing` reclaimable upstreams are in each zone.
+    """Return the plan for the given state of the zones.
 
-    Besides, there are as many `steady` ones in each. Reclaimable ones that start
-    are `coming`, with those that stand.
+    `standing` counts the running reclaimable upstreams by zone and `steady` the steady
+    ones in each zone. `coming` overrides the counts expected, which include starting
+    ones.
     """
     standing = dict.fromkeys(ZONES, 3) if standing is None else standing
     stand = {zone: ZoneCounts(steady, standing.get(zone, 0)) for zone in ZONES}
@@ -99,7 +100,7 @@
 
 
 def test_steady_ones_follow_the_mean_when_zones_are_lost():
-    """Work that came in a burst before the loss isn't insured at the full price."""
+    """A burst before the loss isn't covered by steady upstreams."""
     demand = requests(peak=60, present=25, mean=25)
     for zones, standing in ((("a",), {"b": 3, "c": 3}), (("a", "b"), {"c": 3})):
         counts = plan(demand, dry=zones, standing=standing)
@@ -109,7 +110,7 @@
 
 
 def test_two_open_zones_can_each_carry_the_peak():
-    """The next zone leaves before upstreams that are ordered then have started."""
+    """The next zone may leave before upstreams ordered then have started."""
     standing = {"a": 3, "b": 3}
     demand = requests(peak=22, present=10)
     counts = plan(demand, dry=("c",), standing=standing, coming={"a": 5, "b": 5})
@@ -132,7 +133,7 @@
 
 
 def test_upstreams_in_exhausted_zones_count_until_next_loss():
-    """No zone gives out more, and one has lost all that it had."""
+    """No zone provides further upstreams, and one has lost all of its own."""
     standing = {"a": 3, "b": 3}
     counts = plan(requests(peak=25, present=10), dry=ZONES, standing=standing)
     assert sum(each.steady for each in counts.values()) == 2
@@ -159,7 +160,7 @@
 
 
 def test_plan_is_stable_when_exhausted_zones_reopen():
-    """A zone counts as dry until it was asked, and nothing may be due there."""
+    """A zone counts as exhausted until it's asked again, even if no order is due."""
     standing = {"a": 3, "b": 3}
     demand = requests(peak=22, present=22)
     dry = plan(demand, dry=ZONES, standing=standing)
@@ -170,14 +171,14 @@
 
 
 def test_other_zones_replace_a_full_zone():
-    """The zone that stands is full, and may be the next that's lost."""
+    """The running zone is full and may be lost next."""
     counts = plan(requests(peak=60, present=60), dry=ZONES, standing={"a": 6})
     assert counts["a"].steady == 0
     assert counts["b"].steady + counts["c"].steady == 60 / REQUESTS_EACH - 6
 
 
 def test_all_work_is_covered_when_losses_are_clustered():
-    """The third zone is lost before upstreams that are ordered then have started."""
+    """The third zone is lost before upstreams ordered then have started."""
     standing = {"a": 0, "b": 0, "c": 6}
     demand = requests(peak=30, present=20, mean=20)
     apart = plan(demand, dry=("a", "b"), standing=standing)
--- a/tests/relaying/test_silence.py
+++ b/tests/relaying/test_silence.py
@@ -1,4 +1,4 @@
-"""Who may call an upstream silent, and how that ends."""
+"""Marking of upstreams as silent, and how the mark is cleared."""
 
 import pytest
 import trio
@@ -15,7 +15,7 @@
 
 
 class Clock:
-    """A monotonic clock that tests move."""
+    """A monotonic clock that a test sets."""
 
     def __init__(self) -> None:
         self.time = 100.0
@@ -31,7 +31,7 @@
 
 
 def answer(epoch: int = 1, **silences: bool) -> pb.SyncReply:
-    """Return a control host's answer on upstreams, each silent or not."""
+    """Return a control host's reply with upstreams that are silent or not."""
     messages = []
     for name, is_silent in silences.items():
         message = announcement(name).to_message()
@@ -41,18 +41,18 @@
 
 
 def working(host) -> list[str]:
-    """Return the upstreams of the plain service that a host counts on."""
+    """Return the working upstreams of the plain service on a host."""
     return [each.id for each in host.catalog.working("plain")]
 
 
 class Judged:
-    """A book with its judge, who looks once a second."""
+    """A control host's catalog with a detector that checks once a second."""
 
     def __init__(self) -> None:
         self.clock = Clock()
         self.catalog = UpstreamCatalog(self.clock.now, "c0")
         self.is_in_contact = True
-        # Control hosts that answer, of three.
+        # The other control hosts that answer, of two.
         self.reached = ["c1", "c2"]
         quorum_monitor = QuorumMonitor(
             "c0", lambda: ["c0", "c1", "c2"], lambda: self.reached, self.clock.now
@@ -68,7 +68,7 @@
 
     @property
     def is_silent(self) -> bool:
-        """Whether the upstream counts as silent."""
+        """Whether the upstream is marked silent."""
         return KEY in self.catalog.silent
 
 
@@ -179,7 +179,7 @@
 
 
 class Voted:
-    """An entry host's book with the votes of control hosts."""
+    """An entry host's catalog with the votes of control hosts."""
 
     def __init__(self) -> None:
         self.clock = Clock()
@@ -189,7 +189,7 @@
 
     @property
     def is_silent(self) -> bool:
-        """Whether the upstream counts as silent."""
+        """Whether the upstream is marked silent."""
         return KEY in self.catalog.silent
 
 
@@ -216,7 +216,7 @@
 
 
 def test_vote_counts_again_once_control_host_answers():
-    """Its answers tell only what has changed since its last one."""
+    """A control host's reply holds only changes since its last one."""
     voted = Voted()
     for control_host in ("c0", "c1"):
         voted.votes.record_reply(control_host, answer(u1=True))
@@ -248,7 +248,7 @@
 
 
 async def announce_once_and_fall_silent(world) -> None:
-    """Let an upstream announce itself once, and count as silent everywhere."""
+    """Let an upstream announce itself once and become silent on all hosts."""
     await world.announce("c0:1", "u1", "plain")
     await trio.sleep(24.0)
     for host in [*world.controls.values(), *world.entries.values()]:
--- a/tests/relaying/test_silent_upstreams.py
+++ b/tests/relaying/test_silent_upstreams.py
@@ -1,20 +1,14 @@
-"""Upstreams that a control host doesn't hear of, though they live.
-
-What users saw: for over a minute no request on routes that operators had added was
-served, and one in three on the first routes; the routes were in force everywhere.
-One control host had been cut off from the others. 20 s later entry hosts chose no
-upstream that had been there before, and until all processes started again those
-upstreams stood idle beside callers who were refused.
-
-Cause: a control host that had heard nothing of an upstream for 20 s wrote it down as
-gone, as if the upstream had said so itself. Entry hosts took that from whichever
-control host told it, and nothing that the upstream said brought it back. The host
-that was cut off did so with all upstreams that announced themselves at the others,
-and the others with all that announced themselves there.
-
-Evidence: in a run with a control host cut off for 26 s, it logged six upstreams as
-gone by silence, their latest announcements 20.2 to 20.7 s old; 4 ms later another
-one did so with the three that the first one heard every 1.2 s.
+"""Live upstreams stay in use while a control host doesn't hear them.
+
+Guards against this failure: a control host marked upstreams as gone after 20 s without
+announcements, as if they had said so themselves. A control host that was cut off did so
+with all upstreams that announced themselves at the others, and the others with those
+that announced themselves there. Entry hosts applied the mark of any control host, and
+no announcement cleared it. In a cut of 26 s, one control host marked six upstreams
+whose latest announcements were 20.2 to 20.7 s old, and 4 ms later another one marked
+the three that the first one heard every 1.2 s. For over a minute, no request on added
+routes and one in three on the first routes was served, and upstreams stayed idle until
+all processes restarted.
 """
 
 from functools import partial
@@ -34,7 +28,7 @@
 
 
 async def keep_announcing(world, host: str, upstream: str) -> None:
-    """Let an upstream of the plain service announce itself until cancelled."""
+    """Announce an upstream of the plain service until cancelled."""
     world.connector.scripts[f"{upstream}:80"] = lambda sent: Reply(OK, (b"chart",))
     for sequence in count(1):
         await world.announce(host, upstream, "plain", sequence=sequence)
@@ -42,7 +36,7 @@
 
 
 def working(host) -> list[str]:
-    """Return the upstreams of the plain service that a host counts on."""
+    """Return the working upstreams of the plain service on a host."""
     return [each.id for each in host.catalog.working("plain")]
 
 
@@ -50,7 +44,7 @@
 async def test_upstreams_stay_in_use_while_a_control_host_is_cut_off(
     autojump_clock, cut_off
 ):
-    """Whichever side of the cut they announce themselves on."""
+    """One upstream announces itself on each side of the cut."""
     async with open_world() as world, trio.open_nursery() as nursery:
         nursery.start_soon(keep_announcing, world, "c0:1", "u0")
         nursery.start_soon(keep_announcing, world, "c1:1", "u1")
@@ -100,10 +94,10 @@
 
 @pytest.mark.parametrize("cut_off", ["c0:1", "c3:1", "c5:1"])
 async def test_upstreams_of_unpolled_control_hosts_stay_in_use(autojump_clock, cut_off):
-    """Entry hosts ask three of six control hosts, perhaps none that hears an upstream.
+    """Control hosts must not mark upstreams of an unreachable control host silent.
 
-    Those that don't reach the host which heard it last can't call it silent, neither
-    to entry hosts nor where upstreams are ordered.
+    Entry hosts poll three of six control hosts, perhaps none that hears a given
+    upstream. The autoscaler's count of upstreams depends on this too.
     """
     async with open_world(controls=6, entries=3) as world:
         async with trio.open_nursery() as nursery:
@@ -121,7 +115,7 @@
 
 
 async def test_upstream_that_moves_to_isolated_host_stays_in_use(autojump_clock):
-    """The others heard of it last themselves, so all but one call it silent."""
+    """All control hosts but one mark it silent, as they heard it last themselves."""
     async with open_world() as world, trio.open_nursery() as nursery:
         with trio.move_on_after(5.0):
             await keep_announcing(world, "c0:1", "u0")
--- a/tests/relaying/test_table_changes.py
+++ b/tests/relaying/test_table_changes.py
@@ -1,6 +1,6 @@
-"""Changes of the operators' document: what they cost, and how soon they're in force.
+"""Traffic and delay of changes to the operators' document.
 
-Links of entry hosts carry 5 Mbit/s, which callers' answers share.
+Entry hosts' links carry 5 Mbit/s, shared with callers' answers.
 """
 
 import json
@@ -17,12 +17,12 @@
 CONTROLS = 9
 LINK_BYTES_A_SECOND = 5e6 / 8
 MANY_ROUTES = 1400
-# As many routes as make a document of 4 MB.
+# Number of routes in a document of 4 MB.
 HUGE_ROUTES = 14_000
-# Time from the acknowledgement until all hosts have it, in seconds.
+# Time from the acknowledgement until the table is in force on all hosts, in seconds.
 MANY_IN_FORCE_SECONDS = 1.0
 SMALL_IN_FORCE_SECONDS = 0.5
-# Bytes that a host is sent for a small change on top of a large table.
+# Limit of the bytes sent to each host for a small change of a large table.
 SMALL_CHANGE_BYTES = 2000
 TABLE_KINDS = ("TablePart", "TableRequest")
 
@@ -66,7 +66,7 @@
 
 
 def table_bytes(world) -> int:
-    """Return bytes of documents that hosts sent to each other so far."""
+    """Return the bytes of documents that hosts have sent to each other so far."""
     sent = world.network.bytes_sent
     return sent["SyncReply"] + sum(sent[kind] for kind in TABLE_KINDS)
 
@@ -97,7 +97,7 @@
 
 
 async def bytes_at_rest(world) -> float:
-    """Return the bytes a second that hosts send without any change."""
+    """Return the bytes a second that hosts send without a change."""
     before = table_bytes(world)
     await trio.sleep(4.0)
     return (table_bytes(world) - before) / 4.0
@@ -135,7 +135,7 @@
 
 
 async def test_new_host_receives_a_huge_table(autojump_clock):
-    """Within 2.5 s of its link's time for the compressed document."""
+    """The limit is 2.5 s more than the link needs for the compressed document."""
     async with open_slow_world(entries=2) as world:
         data = document_with(2, routes(HUGE_ROUTES))
         assert len(data) > 3.5e6
@@ -163,7 +163,7 @@
 
 
 async def test_transfer_continues_at_another_control_host(autojump_clock):
-    """The control host that a table is fetched from is lost amid it."""
+    """The control host that a table is fetched from fails during the transfer."""
     async with open_slow_world(entries=1) as world:
         data = document_with(2, routes(HUGE_ROUTES // 4))
         await world.put(2, data)
--- a/tests/relaying/test_table_updates.py
+++ b/tests/relaying/test_table_updates.py
@@ -37,7 +37,7 @@
     return encode_steps([make_step(old, new)])
 
 
-# Machine.
+# State machine.
 
 
 def test_step_from_other_version_needs_whole_document():
@@ -45,7 +45,7 @@
     machine = TableMachine(seen.append)
     first, second, third = (make_document(version) for version in (1, 2, 3))
     assert not apply(machine, 1, encode_whole(first)).needs_whole
-    # Two operators' changes of version 1.
+    # Two operators change version 1.
     assert not apply(machine, 2, step_update(first, second)).needs_whole
     result = apply(machine, 3, step_update(first, third))
     assert (result.needs_whole, result.version) == (True, 2)
@@ -141,7 +141,7 @@
 
 
 class Site:
-    """Control hosts by name, and one host that fetches."""
+    """Control hosts by name, and one host that fetches tables."""
 
     def __init__(self, nursery):
         self.network = FakeNetwork()
@@ -180,7 +180,7 @@
         site.fetcher.record_version(name, version)
     await trio.sleep(1.0)
     assert site.store.current.version == 2
-    # What was told wrongly is asked for now and then only.
+    # A control host with bad updates is asked only now and then.
     before = site.network.sent["TableRequest"]
     await trio.sleep(10.0)
     assert site.network.sent["TableRequest"] - before <= 25
--- a/tests/relaying/test_upstream_events.py
+++ b/tests/relaying/test_upstream_events.py
@@ -1,4 +1,4 @@
-"""What the lines and metrics tell of upstreams that a host counts on, or doesn't."""
+"""Log events and metrics about upstreams."""
 
 import pytest
 import trio
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def events(monkeypatch):
-    """Give the events that all hosts of a world log."""
+    """Return the list of events that all hosts of a world log."""
     kept = []
 
     def keep(text: str, event: object = None, *_: object) -> None:
@@ -30,7 +30,7 @@
 
 
 def states(events: list) -> set[tuple[str, str, str]]:
-    """Return each logged change of an upstream's state, and by whose word."""
+    """Return each logged change of an upstream's state, with its source."""
     changes = [each for each in events if isinstance(each, UpstreamState)]
     return {(each.state_before, each.state, each.told_by) for each in changes}
 
--- a/tests/relaying/test_upstream_restarts.py
+++ b/tests/relaying/test_upstream_restarts.py
@@ -1,4 +1,4 @@
-"""Upstreams that start again under their id, and announcements by other writers."""
+"""Upstreams that restart under the same id, and announcements by other senders."""
 
 import json
 
@@ -14,7 +14,7 @@
 from tests.relaying.world import document, open_world, request
 
 OK = AnswerHead(200, ((b"pepperstep-attempt-id", b"id-1"),))
-# Unix milliseconds of two starts.
+# Starts of two incarnations in Unix milliseconds.
 BEFORE = 1_700_000_000_000
 AFTER = BEFORE + 5_000
 
@@ -32,7 +32,7 @@
 
 
 def announcement(**changes) -> Announcement:
-    """Return an announcement of the first start with changes."""
+    """Return an announcement of the first incarnation with changes."""
     facts = {"service": "plain", "address": "u1:80", "zone": "z1", "slots": 4}
     facts |= {"sequence": 7, "incarnation": BEFORE} | changes
     return Announcement("u1", **facts)
@@ -199,7 +199,7 @@
 
 
 async def beat(host, body: bytes, upstream: str = "i-1", call: str = "Heartbeat"):
-    """Send a heartbeat, or the call of an upstream that ends."""
+    """Send a heartbeat or a deregistration and return the answer's status."""
     head = RequestHead(b"POST", f"/-/Replicas.{call}/{upstream}".encode(), ())
     exchange = FakeExchange(head, body, trio.current_time())
     await ControlCalls(host).handle(exchange)
@@ -255,7 +255,7 @@
     body = body[:cut] + noise + body[cut + len(noise) :]
 
     class Taken:
-        """Takes whatever the border lets through."""
+        """Accepts all messages that were decoded."""
 
         async def receive_announcement(self, announcement):
             announcement.to_message()
@@ -282,7 +282,7 @@
         await host.receive_announcement(announcement(service="later"))
         await world.put(6)
         await trio.sleep(0.5)
-        # One that is known may still say that it leaves.
+        # A known upstream of the removed service may still announce that it leaves.
         await host.receive_announcement(
             announcement(service="later", sequence=8, is_leaving=True)
         )
--- a/tests/relaying/test_upstream_views.py
+++ b/tests/relaying/test_upstream_views.py
@@ -1,4 +1,7 @@
-"""What entry hosts count on, under random cuts, freezes and kills of control hosts."""
+"""Entry hosts' views of upstreams under random faults of control hosts.
+
+Control hosts are cut off, frozen and killed.
+"""
 
 import random
 
@@ -10,32 +13,32 @@
 
 SEEDS = ("c0:1", "c1:1", "c2:1")
 HEARTBEAT_SECONDS = 1.2
-# Time until entry hosts know of an upstream's word: a kill, a cut or a freeze of the
-# host that heard it costs a second question.
+# Time until entry hosts know a departure, in seconds: a fault of the control host that
+# received it costs a second request.
 SETTLING_SECONDS = 4.0
-# Time until an upstream that ended without a word counts as silent: 20 s, twice that
-# where a control host was out of contact meanwhile.
+# Time until an upstream that crashed counts as silent, in seconds: 20 s, or twice that
+# if a control host was out of contact meanwhile.
 SILENT_SECONDS = 45.0
 
 
 class Views:
-    """Upstreams that announce themselves, and control hosts in trouble."""
+    """Upstreams that announce themselves at faulty control hosts."""
 
     def __init__(self, world, seed: int):
         self._world = world
         self._rng = random.Random(seed)
-        # Control hosts by what is done to them.
+        # Control hosts by their current fault.
         self._frozen: set[str] = set()
         self._killed: set[str] = set()
-        # When each upstream was first and last heard by a control host that runs.
+        # Start and end of each upstream's latest period of received announcements.
         self.heard: dict[str, tuple[float, float]] = {}
-        # Upstreams that have begun to say that they end; when that was acknowledged.
+        # Upstreams that have begun to deregister; the time when it was acknowledged.
         self.ending: set[str] = set()
         self.ended_at: dict[str, float] = {}
         self.crashed_at: dict[str, float] = {}
 
     async def announce_forever(self, upstream: str) -> None:
-        """Announce an upstream at one control host, and at others once it fails."""
+        """Announce an upstream at one control host, and at another if it fails."""
         host = self._rng.choice(SEEDS)
         sequence = 0
         while upstream not in self.ended_at and upstream not in self.crashed_at:
@@ -54,7 +57,7 @@
             await trio.sleep(HEARTBEAT_SECONDS)
 
     async def end(self, upstream: str) -> None:
-        """Let an upstream say that it's gone, until that is acknowledged."""
+        """Deregister an upstream until it's acknowledged."""
         self.ending.add(upstream)
         while upstream not in self.ended_at:
             host = self._rng.choice(SEEDS)
@@ -69,7 +72,7 @@
                 self.ended_at[upstream] = trio.current_time()
 
     async def trouble(self) -> None:
-        """Do one thing after the other to control hosts, at most one at a time."""
+        """Cause faults of control hosts, one at a time."""
         while True:
             await trio.sleep(self._rng.uniform(2.0, 8.0))
             act = self._rng.choice([self._cut, self._freeze, self._kill])
@@ -95,7 +98,7 @@
         self._killed.discard(host)
 
     def check(self) -> None:
-        """Raise unless entry hosts count on what lives, and on nothing that ended."""
+        """Assert that entry hosts use live upstreams and none that has ended."""
         now = trio.current_time()
         for name, entry in self._world.entries.items():
             working = {each.id for each in entry.catalog.working("plain")}
--- a/tests/relaying/world.py
+++ b/tests/relaying/world.py
@@ -26,7 +26,7 @@
 
 
 def document(version: int, **changes) -> bytes:
-    """Return an operator's document with a route of each kind."""
+    """Return an operators' document with a route of each kind."""
     kinds = {
         "safe": {"kind": "safe", "max_attempts": 2, "service": "plain"},
         "unsafe": {"kind": "unsafe", "max_attempts": 1, "service": "plain"},
@@ -65,7 +65,7 @@
 
 
 class World:
-    """Hosts by name; each life of a host runs in a nursery of its own."""
+    """Hosts by name; each incarnation of a host runs in its own nursery."""
 
     def __init__(
         self, nursery: trio.Nursery, seed: int = 0, bounds: RelayBounds | None = None
@@ -84,7 +84,7 @@
     async def start_control(
         self, name: str, seeds: tuple[str, ...], *, is_first: bool, losses: int = 1
     ) -> ControlHost:
-        """Start a control host on the disk that it had, or an empty one."""
+        """Start a control host on its earlier disk, or else on an empty one."""
         disk = self.disks.setdefault(name, FakeDisk())
         role = ControlRole(
             "10.0.0.1:1", "data", forms_group=is_first, tolerated_losses=losses
@@ -101,7 +101,7 @@
     async def start_entry(
         self, name: str, seeds: tuple[str, ...], wall_offset: float = 0.0
     ) -> EntryHost:
-        """Start an entry host, whose Unix time may be off."""
+        """Start an entry host whose clock may have an offset, in seconds."""
         role = EntryRole(f"{name}:callers")
         settings = RelaySettings(
             name, "z1", "r1", name, seeds, entry=role, bounds=self.bounds
@@ -113,7 +113,7 @@
         return host
 
     def kill(self, name: str, *, is_disk_lost: bool = False) -> None:
-        """End a host's life at once."""
+        """Stop a host at once."""
         self._scopes.pop(name).cancel()
         self.network.detach(name)
         self.controls.pop(name, None)
@@ -124,14 +124,14 @@
             self.disks[name].crash()
 
     def cut_off(self, name: str, others: Collection[str] = ()) -> None:
-        """Cut a host off from others, both ways; from the control hosts without any."""
+        """Cut a host off from others, by default all control hosts, both ways."""
         for other in others or self.controls:
             if other != name:
                 self.network.cut(name, other)
                 self.network.cut(other, name)
 
     async def put(self, version: int, data: bytes | None = None) -> None:
-        """Send an operator's document to any control host until it's taken."""
+        """Send an operators' document to random control hosts until one accepts it."""
         data = data or document(version)
         while True:
             host = self.rng.choice(sorted(self.controls))
@@ -143,21 +143,21 @@
                 return
 
     async def announce(self, host: str, upstream: str, service: str, **facts) -> None:
-        """Let an upstream announce itself at one control host."""
+        """Send an upstream's announcement to one control host."""
         defaults = {"address": f"{upstream}:80", "zone": "z1", "slots": 4}
         defaults |= {"sequence": 1} | facts
         announcement = Announcement(upstream, service, **defaults)
         await self.controls[host].receive_announcement(announcement)
 
     async def ask(self, entry: str, head: RequestHead, body=b"") -> FakeExchange:
-        """Send a caller's request and return what the caller got."""
+        """Send a caller's request and return the exchange with its answer."""
         exchange = FakeExchange(head, body, trio.current_time())
         await self.entries[entry].relay.handle(exchange)
         return exchange
 
     @property
     def leader(self) -> str:
-        """Name of the control host that leads, "" for none."""
+        """Name of the control host that leads, "" if there is none."""
         names = [name for name, host in self.controls.items() if is_leader(host)]
         return names[0] if names else ""
 
@@ -189,7 +189,7 @@
 
 
 def is_leader(host: ControlHost) -> bool:
-    """Whether a control host leads now."""
+    """Whether a control host leads."""
     return host.agreement.is_leader
 
 
@@ -201,9 +201,9 @@
     losses: int = 1,
     bounds: RelayBounds | None = None,
 ):
-    """Give a world whose hosts have started, with a first document in force.
+    """Yield a world with started hosts and a first document in force.
 
-    It has to bear the loss of so many control hosts with their disks.
+    `losses` is the number of control hosts that it tolerates losing with their disks.
     """
     async with trio.open_nursery() as nursery:
         world = World(nursery, seed, bounds)
