--- a/proofs/relay.py
+++ b/proofs/relay.py
@@ -17,7 +17,7 @@
 )
 _GROUP = "tests/relaying/test_group.py::"
 _LOST = "tests/relaying/test_lost_contact.py::"
-_ORDERING = "tests/relaying/test_autoscaler.py::"
+_AUTOSCALER = "tests/relaying/test_autoscaler.py::"
 _PLACEMENT = "tests/relaying/test_placement.py::"
 _QUOTAS = "tests/relaying/test_quota_windows.py::"
 _PARTIAL = "tests/relaying/test_partial_views.py::"
@@ -159,7 +159,7 @@
         "coordination/departures.py",
         "return 2 * len(voters.intersection(names)) > len(voters)",
         "return bool(names)",
-        (f"{_ACKNOWLEDGED}[leaves-say_it_at_a_minority-12-5]",),
+        (f"{_ACKNOWLEDGED}[leaves-announce_at_minority-12-5]",),
     ),
     Mechanism(
         5,
@@ -167,7 +167,7 @@
         "coordination/sync_server.py",
         "now.key != before.key\n        await self._acknowledge(",
         "now.key != before.key\n        is_news and await self._acknowledge(",
-        (f"{_ACKNOWLEDGED}[leaves-repeat_at_a_host_cut_off-5-3]",),
+        (f"{_ACKNOWLEDGED}[leaves-repeat_at_isolated_host-5-3]",),
     ),
     Mechanism(
         5,
@@ -175,7 +175,7 @@
         "coordination/departures.py",
         "            await self._store()\n",
         "            pass\n",
-        (f"{_ACKNOWLEDGED}[leaves-kill_all_that_know-5-3]",),
+        (f"{_ACKNOWLEDGED}[leaves-kill_all_hosts-5-3]",),
     ),
     Mechanism(
         5,
@@ -199,7 +199,7 @@
         "coordination/sync_client.py",
         "voter_majority = len(self._voters) // 2 + 1",
         "voter_majority = 0",
-        (f"{_ACKNOWLEDGED}[leaves-say_it_at_a_majority-12-5]",),
+        (f"{_ACKNOWLEDGED}[leaves-announce_at_majority-12-5]",),
     ),
     Mechanism(
         5,
@@ -379,7 +379,7 @@
         "            needed_on_average, expected_counts, are_losses_clustered\n"
         "        )",
         "needed_now - sum(expected_counts)",
-        (f"{_ORDERING}test_capacity_suffices_after_two_zone_losses",),
+        (f"{_AUTOSCALER}test_capacity_suffices_after_two_zone_losses",),
     ),
     Mechanism(
         9,
@@ -387,7 +387,7 @@
         "coordination/autoscaler.py",
         "if is_empty and now - self._started_at < _EMPTY_DISCOVERY_SECONDS:",
         "if is_empty:",
-        (f"{_ORDERING}test_steady_stay_until_reclaimable_run_again",),
+        (f"{_AUTOSCALER}test_steady_stay_until_reclaimable_run_again",),
     ),
     Mechanism(
         7,
@@ -538,6 +538,6 @@
         "coordination/autoscaler.py",
         "state.is_unused = holder.is_first and not demand.peak",
         "state.is_unused = False",
-        (f"{_ORDERING}test_unused_upstreams_are_released_at_system_start",),
+        (f"{_AUTOSCALER}test_unused_upstreams_are_released_at_system_start",),
     ),
 )
--- a/tests/relaying/test_autoscaler.py
+++ b/tests/relaying/test_autoscaler.py
@@ -37,7 +37,7 @@
 }
 
 
-class FakeAgreementState:
+class FakeAgreement:
     """The leader and the term of a log."""
 
     def __init__(self) -> None:
@@ -45,7 +45,7 @@
         self.term = 1
 
 
-class FakeDesk:
+class FakeEntryHosts:
     """A catalog of entry hosts that knows only their work in flight."""
 
     def __init__(self) -> None:
@@ -60,14 +60,14 @@
     """Starts and stops upstreams as ordered, and reclaims those of a zone."""
 
     def __init__(self, catalog: UpstreamCatalog, nursery: trio.Nursery):
-        self.is_dry = False
+        self.is_exhausted = False
         # Time, holder and fence of each order.
         self.orders: list[tuple[float, str, int]] = []
         self.most = 0
         self._catalog = catalog
         self._nursery = nursery
-        self._wanted: dict[tuple[str, bool], int] = {}
-        self._standing: dict[tuple[str, bool], list[str]] = {}
+        self._ordered: dict[tuple[str, bool], int] = {}
+        self._running: dict[tuple[str, bool], list[str]] = {}
         self._number = 0
 
     @property
@@ -76,18 +76,18 @@
 
     def steady_orders(self) -> dict[str, int]:
         """Return the latest order for steady upstreams of each zone."""
-        wanted = self._wanted.items()
-        return {zone: count for (zone, kind), count in wanted if not kind}
+        ordered = self._ordered.items()
+        return {zone: count for (zone, kind), count in ordered if not kind}
 
     async def order(self, order, holder: str, fence: int) -> None:
         key = (order.zone, order.is_reclaimable)
         self.orders.append((trio.current_time(), holder, fence))
-        standing = self._standing.setdefault(key, [])
-        if order.is_reclaimable and self.is_dry and order.count > len(standing):
+        running = self._running.setdefault(key, [])
+        if order.is_reclaimable and self.is_exhausted and order.count > len(running):
             raise Failure(Code.OVERLOADED, "None of that kind is to be had.")
-        self._wanted[key] = order.count
-        while len(standing) > order.count:
-            self._catalog.mark_gone(standing.pop())
+        self._ordered[key] = order.count
+        while len(running) > order.count:
+            self._catalog.mark_gone(running.pop())
         self._nursery.start_soon(self._boot, key)
 
     async def _boot(self, key: tuple[str, bool]) -> None:
@@ -95,24 +95,24 @@
         self.fill(key)
 
     def fill(self, key: tuple[str, bool], count: int | None = None) -> None:
-        standing = self._standing.setdefault(key, [])
-        while len(standing) < (self._wanted.get(key, 0) if count is None else count):
+        running = self._running.setdefault(key, [])
+        while len(running) < (self._ordered.get(key, 0) if count is None else count):
             self._number += 1
             name = f"u{self._number}"
-            standing.append(name)
-            self._note(name, key)
+            running.append(name)
+            self._record(name, key)
 
     async def reclaim(self, zone: str, seconds: float = 2.3) -> None:
         """Announce that a zone's reclaimable upstreams leave, then end them."""
-        leaving = self._standing.pop((zone, True), [])
-        self._wanted.pop((zone, True), None)
+        leaving = self._running.pop((zone, True), [])
+        self._ordered.pop((zone, True), None)
         for name in leaving:
-            self._note(name, (zone, True), sequence=2, is_leaving=True)
+            self._record(name, (zone, True), sequence=2, is_leaving=True)
         await trio.sleep(seconds)
         for name in leaving:
             self._catalog.mark_gone(name)
 
-    def _note(self, name: str, key: tuple[str, bool], **facts) -> None:
+    def _record(self, name: str, key: tuple[str, bool], **facts) -> None:
         zone, is_reclaimable = key
         facts = {"sequence": 1, "is_reclaimable": is_reclaimable} | facts
         self._catalog.record(Announcement(name, "model", f"{name}:80", zone, **facts))
@@ -126,8 +126,8 @@
         self.timers = FakeTimers(random.Random(0))
         self.catalog = UpstreamCatalog(self.timers.now)
         self.platform = FakePlatform(self.catalog, nursery)
-        self.desk = FakeDesk()
-        self.agreement = FakeAgreementState()
+        self.entries = FakeEntryHosts()
+        self.agreement = FakeAgreement()
         tables = TableStore(TableDecoder().decode_in_steps)
         services = [{"name": "plain"}, {"name": "model", "autoscale": SCALING}]
         data = json.loads(document(1)) | {"services": services}
@@ -136,7 +136,7 @@
             LeaderLease("c0", self.agreement, self.timers, 3.0),
             self.platform,
             tables,
-            self.desk,
+            self.entries,
             self.catalog,
             lambda: ZONES,
             self.timers,
@@ -168,20 +168,22 @@
 
 async def test_reclaimable_upstreams_replace_steady_ones(autojump_clock):
     async with start_world() as world:
-        world.desk.load = 20.0
+        world.entries.load = 20.0
         assert await world.watch(12.0) >= 4
         kinds = {each.is_reclaimable for each in world.catalog.working("model")}
         assert kinds == {True}
 
 
-@pytest.mark.parametrize("is_dry", [False, True])
+@pytest.mark.parametrize("is_exhausted", [False, True])
 @pytest.mark.parametrize("order", ["ab", "bc", "ca"])
-async def test_capacity_suffices_after_two_zone_losses(autojump_clock, is_dry, order):
+async def test_capacity_suffices_after_two_zone_losses(
+    autojump_clock, is_exhausted, order
+):
     """The second zone is lost 6 s after the first, while the demand stays."""
     async with start_world() as world:
-        world.desk.load = 22.0
+        world.entries.load = 22.0
         await trio.sleep(12.0)
-        world.platform.is_dry = is_dry
+        world.platform.is_exhausted = is_exhausted
         for zone in order:
             world.reclaim(zone)
             assert await world.watch(6.0) >= 22 / REQUESTS_EACH
@@ -191,9 +193,9 @@
 async def test_three_zone_losses_are_replaced_at_once(autojump_clock):
     """All capacity is ordered as soon as the last zone leaves."""
     async with start_world() as world:
-        world.desk.load = 40.0
+        world.entries.load = 40.0
         await trio.sleep(12.0)
-        world.platform.is_dry = True
+        world.platform.is_exhausted = True
         for zone, pause in (("a", 4.0), ("b", 2.0), ("c", 1.1 + BOOT_SECONDS)):
             world.reclaim(zone)
             await trio.sleep(pause)
@@ -207,14 +209,14 @@
     peak of 22 would cost half as much again and answer no more requests in time.
     """
     async with start_world() as world:
-        world.desk.load = 22.0
+        world.entries.load = 22.0
         await trio.sleep(12.0)
-        world.desk.load = 8.0
+        world.entries.load = 8.0
         await trio.sleep(2.0)
-        world.platform.is_dry = True
+        world.platform.is_exhausted = True
         world.reclaim("a")
         assert await world.watch(3.0) >= (5 * 22 + 5 * 8) / 10 / REQUESTS_EACH
-        world.desk.load = 22.0
+        world.entries.load = 22.0
         await trio.sleep(3.0)
         world.reclaim("b")
         assert await world.watch(6.0) >= (4 * 22 + 6 * 8) / 10 / REQUESTS_EACH
@@ -223,15 +225,15 @@
 async def test_steady_stay_until_reclaimable_run_again(autojump_clock):
     """Demand may be low just when zones provide upstreams again."""
     async with start_world() as world:
-        world.desk.load = 40.0
+        world.entries.load = 40.0
         await trio.sleep(12.0)
-        world.platform.is_dry = True
+        world.platform.is_exhausted = True
         for zone in ZONES:
             world.reclaim(zone)
         await trio.sleep(10.0)
         assert world.platform.count >= 40 / REQUESTS_EACH
-        world.platform.is_dry = False
-        world.desk.load = 10.0
+        world.platform.is_exhausted = False
+        world.entries.load = 10.0
         for second in range(1, 9):
             mean = ((10 - second) * 40 + second * 10) / 10
             assert await world.watch(1.0) >= int(mean / REQUESTS_EACH)
@@ -253,12 +255,12 @@
     autojump_clock,
 ):
     async with start_world() as world:
-        heard_late = world.catalog.working("model")[3:]
-        for each in heard_late:
+        unannounced = world.catalog.working("model")[3:]
+        for each in unannounced:
             world.catalog.mark_gone(each.id)
         await trio.sleep(2.0)
         assert world.platform.steady_orders() in ({"a": 3}, {})
-        for each in heard_late:
+        for each in unannounced:
             later = dataclasses.replace(each, id=f"{each.id}-again")
             world.catalog.record(later)
         await trio.sleep(0.6)
@@ -270,7 +272,7 @@
     """After a restart, the demand may not be known yet."""
     async with start_world() as world:
         world.agreement.term = 1 if load else 2
-        world.desk.load = load
+        world.entries.load = load
         await trio.sleep(3.4)
         assert world.platform.count == 9
 
@@ -279,7 +281,7 @@
     events = []
     monkeypatch.setattr(logging, "info", lambda text, *values: events.extend(values))
     async with start_world() as world:
-        world.desk.load = 20.0
+        world.entries.load = 20.0
         await trio.sleep(3.0)
     planned = [each for each in events if isinstance(each, UpstreamsPlanned)]
     assert planned[0].needed_at_peak == 4.0
@@ -291,10 +293,10 @@
     """A zone may be lost together with the host that ordered its upstreams."""
     async with start_world() as world:
         world.agreement.is_leader = False
-        world.desk.load = 22.0
+        world.entries.load = 22.0
         await trio.sleep(12.0)
         assert world.platform.orders == []
-        world.desk.load = 8.0
+        world.entries.load = 8.0
         world.agreement.term = 2
         world.agreement.is_leader = True
         await trio.sleep(2.6)
--- a/tests/relaying/test_coordination.py
+++ b/tests/relaying/test_coordination.py
@@ -117,16 +117,16 @@
         assert [each.id for each in entry.catalog.working("plain")] == ["u1"]
 
 
-@pytest.mark.parametrize(("later", "found_in"), [(0.6, 0.25), (2.0, 0.4)])
+@pytest.mark.parametrize(("delay", "found_in"), [(0.6, 0.25), (2.0, 0.4)])
 async def test_entry_host_soon_finds_control_hosts_that_start_later(
-    autojump_clock, later, found_in
+    autojump_clock, delay, found_in
 ):
     seeds = ("c0:1", "c1:1", "c2:1")
     async with open_world() as world:
         for name in (*seeds, "e0:1"):
             world.kill(name)
         entry = await world.start_entry("e0:1", seeds)
-        await trio.sleep(later)
+        await trio.sleep(delay)
         for name in seeds:
             await world.start_control(name, seeds, is_first=False)
         await trio.sleep(found_in)
@@ -188,11 +188,11 @@
 async def test_contact_changes_of_entry_hosts_are_logged(autojump_clock, monkeypatch):
     contacts = []
 
-    def keep(text: str, event: object = None, *_: object) -> None:
+    def collect(text: str, event: object = None, *_: object) -> None:
         if isinstance(event, EntryContact):
             contacts.append((event.entry, event.is_in_contact, event.count))
 
-    monkeypatch.setattr(logging, "info", keep)
+    monkeypatch.setattr(logging, "info", collect)
     async with open_world() as world:
         world.kill("e0:1")
         await trio.sleep(3.0)
--- a/tests/relaying/test_directory.py
+++ b/tests/relaying/test_directory.py
@@ -6,7 +6,7 @@
 from pepperstep.coordination.directory import MAX_ADDRESSES, DirectoryEntry
 from tests.relaying.world import open_world
 
-ALL = ["e0:1:callers", "e1:1:callers"]
+ALL_ADDRESSES = ["e0:1:callers", "e1:1:callers"]
 
 
 def directory(*entries: tuple[str, str]) -> Directory:
@@ -15,17 +15,17 @@
 
 
 def test_addresses_of_the_callers_zone_come_first():
-    told = directory(("a", "z1"), ("b", "z2"), ("c", "z1"))
-    assert told.addresses("z2") == ["b", "a", "c"]
-    assert told.addresses("z3") == ["a", "b", "c"]
-    assert told.addresses("z1", without="a") == ["c", "b"]
+    original = directory(("a", "z1"), ("b", "z2"), ("c", "z1"))
+    assert original.addresses("z2") == ["b", "a", "c"]
+    assert original.addresses("z3") == ["a", "b", "c"]
+    assert original.addresses("z1", without="a") == ["c", "b"]
 
 
 def test_directory_crosses_the_wire():
-    told = directory(("a", "z1"), ("b", "z2"))
-    again = Directory.from_message(told.to_message())
-    assert again == told
-    assert again.digest == told.digest != directory(("a", "z1")).digest
+    original = directory(("a", "z1"), ("b", "z2"))
+    decoded = Directory.from_message(original.to_message())
+    assert decoded == original
+    assert decoded.digest == original.digest != directory(("a", "z1")).digest
     assert Directory().digest == 0
 
 
@@ -36,7 +36,7 @@
             world.kill(name)
         await trio.sleep(10.0)
         for host in world.entries.values():
-            assert sorted(host.entry_addresses("z1")) == ALL
+            assert sorted(host.entry_addresses("z1")) == ALL_ADDRESSES
 
 
 async def test_leaving_host_is_in_no_directory(autojump_clock):
@@ -69,7 +69,7 @@
         for _ in range(40):
             await trio.sleep(0.1)
             for host in world.entries.values():
-                assert sorted(host.entry_addresses("z1")) == ALL
+                assert sorted(host.entry_addresses("z1")) == ALL_ADDRESSES
 
 
 async def test_starting_entry_host_soon_has_directory(autojump_clock):
@@ -99,10 +99,10 @@
         zone: Directory.from_reports(reports, zone).addresses(zone) for zone in "abcde"
     }
     for zone, addresses in named.items():
-        own = [address for address in addresses if address.startswith(zone)]
-        assert len(own) == sum(report.zone == zone for report in reports)
-        assert 1 <= len(addresses) - len(own) <= len(addresses) / 8
-        assert addresses[: len(own)] == own
+        in_zone = [address for address in addresses if address.startswith(zone)]
+        assert len(in_zone) == sum(report.zone == zone for report in reports)
+        assert 1 <= len(addresses) - len(in_zone) <= len(addresses) / 8
+        assert addresses[: len(in_zone)] == in_zone
     others = [
         address
         for zone, addresses in named.items()
@@ -133,5 +133,5 @@
 async def test_directory_is_limited_to_what_callers_accept(autojump_clock):
     async with open_world() as world:
         reports = world.controls["c0:1"].entries.ready() * MAX_ADDRESSES
-        told = Directory.from_reports(reports, "z1")
-        assert len(told.entries) == MAX_ADDRESSES
+        original = Directory.from_reports(reports, "z1")
+        assert len(original.entries) == MAX_ADDRESSES
--- a/tests/relaying/test_entry_host_catalog.py
+++ b/tests/relaying/test_entry_host_catalog.py
@@ -43,7 +43,7 @@
     )  # fmt: skip
 
 
-def tell(catalog: EntryHostCatalog, other: EntryHostCatalog, since: int) -> int:
+def send(catalog: EntryHostCatalog, other: EntryHostCatalog, since: int) -> int:
     """Send a catalog's changes to another host's catalog; return the new version."""
     for message in catalog.messages_since(since):
         other.record_relayed(EntryReport.from_message(message), message.age)
@@ -61,29 +61,29 @@
     assert catalog.messages_since(version) == []
     catalog.record(report(3, admitted={"desk": 600}, windows={8: {"desk": 1}}), True)
     (message,) = catalog.messages_since(version)
-    told = EntryReport.from_message(message)
-    assert told.host == "e3:1"
-    assert told.admitted == {"desk": 600}
-    assert told.windows == {8: {"desk": 1}}
+    sent = EntryReport.from_message(message)
+    assert sent.host == "e3:1"
+    assert sent.admitted == {"desk": 600}
+    assert sent.windows == {8: {"desk": 1}}
 
 
 def test_relayed_report_is_not_published(catalog, clock):
     other = EntryHostCatalog(clock)
     catalog.record(report(1), True)
-    tell(catalog, other, 0)
+    send(catalog, other, 0)
     assert [each.host for each in other.ready()] == ["e1:1"]
     assert other.messages_since(0) == []
 
 
-class Asker:
+class Reporter:
     """An entry host that reports its changes to two control hosts."""
 
-    def __init__(self, number: int, books: list[EntryHostCatalog]):
+    def __init__(self, number: int, catalogs: list[EntryHostCatalog]):
         self.report = report(number)
-        self.source = 0
+        self.publisher = 0
         self._number = number
-        self._books = books
-        self._told: list[EntryReport | None] = [None, None]
+        self._catalogs = catalogs
+        self._acknowledged: list[EntryReport | None] = [None, None]
 
     def count(self, window: int, name: str) -> None:
         """Count a request that is admitted and runs."""
@@ -93,18 +93,18 @@
         admitted = self.report.admitted | {name: self.report.admitted.get(name, 0) + 10}
         self._set(self.report.incarnation, admitted=admitted, windows=windows)
 
-    def tell(self, is_answered=(True, True), arrives: bool = True) -> None:
+    def send(self, is_answered=(True, True), arrives: bool = True) -> None:
         """Report to both; a report without a reply may have arrived."""
-        for index, catalog in enumerate(self._books):
+        for index, catalog in enumerate(self._catalogs):
             if is_answered[index] or arrives:
-                news = self.report.changed_since(self._told[index])
-                catalog.record(news, index == self.source)
-            self._told[index] = self.report if is_answered[index] else None
+                changes = self.report.changed_since(self._acknowledged[index])
+                catalog.record(changes, index == self.publisher)
+            self._acknowledged[index] = self.report if is_answered[index] else None
 
     def restart(self) -> None:
         """Start a new incarnation."""
         self._set(self.report.incarnation + 1)
-        self._told = [None, None]
+        self._acknowledged = [None, None]
 
     def _set(self, incarnation: int, **counts) -> None:
         self.report = report(self._number, incarnation=incarnation, **counts)
@@ -114,32 +114,34 @@
 def test_merged_changes_equal_whole_reports(clock, seed):
     """Covers lost requests, restarts and changes of the publisher."""
     rng = random.Random(seed)
-    one, two, far, whole = (EntryHostCatalog(clock) for _ in range(4))
-    askers = [Asker(number, [one, two]) for number in range(5)]
-    told = {one: 0, two: 0}
+    first, second, remote, reference = (EntryHostCatalog(clock) for _ in range(4))
+    reporters = [Reporter(number, [first, second]) for number in range(5)]
+    sent = {first: 0, second: 0}
     for step in range(200):
         clock.time += 0.1
-        asker = rng.choice(askers)
+        reporter = rng.choice(reporters)
         if rng.random() < 0.03:
-            asker.tell()
-            asker.restart()
+            reporter.send()
+            reporter.restart()
         if rng.random() < 0.1:
-            asker.source = 1 - asker.source
-        asker.count(step // 40, rng.choice(("desk", "shop")))
-        whole.record(asker.report, True)
-        asker.tell((rng.random() < 0.8, rng.random() < 0.8), rng.random() < 0.5)
-        for catalog in (one, two):
+            reporter.publisher = 1 - reporter.publisher
+        reporter.count(step // 40, rng.choice(("desk", "shop")))
+        reference.record(reporter.report, True)
+        reporter.send((rng.random() < 0.8, rng.random() < 0.8), rng.random() < 0.5)
+        for catalog in (first, second):
             if rng.random() < 0.3:
-                told[catalog] = tell(catalog, far, told[catalog])
-    for asker in askers:
-        asker.tell()
-    for catalog in (one, two):
-        tell(catalog, far, told[catalog])
-    for catalog in (one, two, far):
+                sent[catalog] = send(catalog, remote, sent[catalog])
+    for reporter in reporters:
+        reporter.send()
+    for catalog in (first, second):
+        send(catalog, remote, sent[catalog])
+    for catalog in (first, second, remote):
         for window in range(5):
-            assert catalog.counts_of(window) == whole.counts_of(window)
+            assert catalog.counts_of(window) == reference.counts_of(window)
         for host in ("", "e0:1", "e4:1"):
-            assert catalog.admitted_elsewhere(host) == whole.admitted_elsewhere(host)
+            assert catalog.admitted_elsewhere(host) == reference.admitted_elsewhere(
+                host
+            )
 
 
 def test_new_publisher_publishes_all_counts(catalog, clock):
@@ -150,9 +152,9 @@
     version = catalog.version
     catalog.record(report(1, admitted={"shop": 7}), True)
     (message,) = catalog.messages_since(version)
-    told = EntryReport.from_message(message)
-    assert told.admitted == {"desk": 5, "shop": 7}
-    assert told.windows == {6: {"desk": 1}}
+    sent = EntryReport.from_message(message)
+    assert sent.admitted == {"desk": 5, "shop": 7}
+    assert sent.windows == {6: {"desk": 1}}
 
 
 def test_counts_of_removed_incarnations_are_subtracted(catalog, clock):
@@ -181,14 +183,14 @@
 
 def test_no_directory_is_cached_for_unknown_zones(catalog, monkeypatch):
     catalog.record(report(0), True)
-    made = []
-    make = Directory.from_reports
+    built = []
+    build = Directory.from_reports
     monkeypatch.setattr(
-        Directory, "from_reports", lambda *args: made.append(args) or make(*args)
+        Directory, "from_reports", lambda *args: built.append(args) or build(*args)
     )
     for number in range(1000):
         assert catalog.directory(f"nowhere-{number}").addresses("z1") == ["e0:callers"]
-    assert len(made) == 1
+    assert len(built) == 1
 
 
 async def test_directories_are_rebuilt_on_changes_only(autojump_clock, monkeypatch):
@@ -198,13 +200,13 @@
     """
     async with open_world(entries=60) as world:
         await trio.sleep(3.0)
-        made = []
-        make = Directory.from_reports
+        built = []
+        build = Directory.from_reports
         monkeypatch.setattr(
-            Directory, "from_reports", lambda *args: made.append(args) or make(*args)
+            Directory, "from_reports", lambda *args: built.append(args) or build(*args)
         )
         await trio.sleep(5.0)
-        assert len(made) <= len(world.controls)
+        assert len(built) <= len(world.controls)
         world.kill("e7:1")
         await trio.sleep(2.0)
         assert len(world.entries["e8:1"].entry_addresses("z1")) == 59
@@ -214,17 +216,17 @@
     """Guards against all three polled control hosts publishing to the other four."""
     async with open_world(controls=5, entries=10) as world:
         await trio.sleep(3.0)
-        told = 0
+        sent = 0
 
         def count(sender, receiver, message) -> None:
-            nonlocal told
+            nonlocal sent
             if isinstance(message, pb.SyncReply):
-                told += len(message.entries)
+                sent += len(message.entries)
 
         world.network.before = count
         await trio.sleep(5.0)
         # At most twice a second to each of four control hosts.
-        assert 0 < told <= 10 * 4 * 2 * 5
+        assert 0 < sent <= 10 * 4 * 2 * 5
         # Another control host replaces a publisher that is lost.
         world.kill("c0:1")
         await trio.sleep(3.0)
--- a/tests/relaying/test_leaving_upstreams.py
+++ b/tests/relaying/test_leaving_upstreams.py
@@ -11,7 +11,7 @@
 from tests.relaying.world import request
 
 # Time after the first such answer during which requests may still arrive, in seconds.
-NOTICE = 2.0
+NOTICE_SECONDS = 2.0
 LEAVES_AT = 10.0
 
 
@@ -33,7 +33,7 @@
             headers.append((b"pepperstep-not-executed", b"1"))
         return Reply(AnswerHead(self.status, tuple(headers)), (b"data: 1\n\n",))
 
-    def since(self, begin: float) -> int:
+    def count_since(self, begin: float) -> int:
         """Return the number of requests since a time."""
         return sum(each >= begin for each in self.arrivals)
 
@@ -58,8 +58,8 @@
     async with serving([leaving, Upstream()]) as world:
         await trio.sleep_until(LEAVES_AT)
         statuses = await ask_all(world, 10.0, path)
-        assert leaving.since(LEAVES_AT) > 0
-        assert leaving.since(LEAVES_AT + NOTICE) == 0
+        assert leaving.count_since(LEAVES_AT) > 0
+        assert leaving.count_since(LEAVES_AT + NOTICE_SECONDS) == 0
         assert set(statuses) == {200}
 
 
@@ -67,12 +67,12 @@
     leaving = Upstream(LEAVES_AT)
     async with serving([leaving, Upstream()]) as world:
         await trio.sleep_until(LEAVES_AT)
-        while not leaving.since(LEAVES_AT):
+        while not leaving.count_since(LEAVES_AT):
             await world.ask("e0:1", request("/safe/1"))
         await trio.sleep(0.3)
-        told = leaving.since(LEAVES_AT)
+        count_before = leaving.count_since(LEAVES_AT)
         await ask_all(world, 3.0)
-        assert leaving.since(LEAVES_AT) == told
+        assert leaving.count_since(LEAVES_AT) == count_before
 
 
 async def test_isolated_host_applies_leaving_in_an_answer(
@@ -83,7 +83,7 @@
         world.cut_off("e0:1")
         await trio.sleep_until(LEAVES_AT)
         statuses = await ask_all(world, 10.0)
-        assert leaving.since(LEAVES_AT) == 1
+        assert leaving.count_since(LEAVES_AT) == 1
         assert set(statuses) == {200}
 
 
@@ -100,7 +100,7 @@
         for sequence in range(2, 6):
             await world.announce("c3:1", "plain0", "plain", sequence=sequence)
             await ask_all(world, 1.0)
-        assert leaving.since(LEAVES_AT + NOTICE) == 0
+        assert leaving.count_since(LEAVES_AT + NOTICE_SECONDS) == 0
 
 
 async def test_last_upstream_that_leaves_gets_nothing_more(autojump_clock):
@@ -108,7 +108,7 @@
     async with serving([leaving]) as world:
         await trio.sleep_until(LEAVES_AT)
         statuses = await ask_all(world, 5.0)
-        assert leaving.since(LEAVES_AT + NOTICE) == 0
+        assert leaving.count_since(LEAVES_AT + NOTICE_SECONDS) == 0
         assert set(statuses) == {200, 503}
 
 
@@ -117,7 +117,7 @@
     async with serving([leaving, Upstream()]) as world:
         await trio.sleep_until(LEAVES_AT)
         await ask_all(world, 5.0)
-        assert leaving.since(LEAVES_AT + NOTICE) == 0
+        assert leaving.count_since(LEAVES_AT + NOTICE_SECONDS) == 0
 
 
 async def test_next_start_of_an_upstream_that_left_is_used(autojump_clock):
@@ -129,7 +129,7 @@
         await world.announce("c1:1", "plain0", "plain", incarnation=9)
         begin = trio.current_time() + 1.0
         await ask_all(world, 3.0)
-        assert leaving.since(begin) > 0
+        assert leaving.count_since(begin) > 0
 
 
 async def test_answer_of_other_upstream_at_address_is_ignored(
--- a/tests/relaying/test_lost_contact.py
+++ b/tests/relaying/test_lost_contact.py
@@ -32,11 +32,11 @@
         await trio.sleep(5.0)
         world.cut_off(name)
         await trio.sleep(NOTICE_SECONDS)
-        begun = trio.current_time()
+        started_at = trio.current_time()
         with pytest.raises(Failure) as raised:
             await ask(world.controls[name])
         assert raised.value.code is Code.NO_QUORUM
-        assert trio.current_time() - begun < 0.05
+        assert trio.current_time() - started_at < 0.05
         world.network.heal()
         await trio.sleep(NOTICE_SECONDS)
         await ask(world.controls[name])
--- a/tests/relaying/test_scaling.py
+++ b/tests/relaying/test_scaling.py
@@ -24,29 +24,35 @@
     return Demand(peak / REQUESTS_EACH, present / REQUESTS_EACH, mean / REQUESTS_EACH)
 
 
-QUIET = requests(peak=5, present=5)
+LOW_DEMAND = requests(peak=5, present=5)
 
 
 def plan(
-    demand=QUIET,
-    dry=(),
-    standing=None,
+    demand=LOW_DEMAND,
+    exhausted=(),
+    running=None,
     bounds=BOUNDS,
     steady=0,
-    coming=None,
+    expected=None,
     are_losses_clustered=False,
 ):
     """Return the plan for the given state of the zones.
 
-    `standing` counts the running reclaimable upstreams by zone and `steady` the steady
-    ones in each zone. `coming` overrides the counts expected, which include starting
+    `running` counts the running reclaimable upstreams by zone and `steady` the steady
+    ones in each zone. `expected` overrides the counts expected, which include starting
     ones.
     """
-    standing = dict.fromkeys(ZONES, 3) if standing is None else standing
-    stand = {zone: ZoneCounts(steady, standing.get(zone, 0)) for zone in ZONES}
-    coming = {zone: standing.get(zone, 0) for zone in ZONES} | (coming or {})
+    running = dict.fromkeys(ZONES, 3) if running is None else running
+    zone_counts = {zone: ZoneCounts(steady, running.get(zone, 0)) for zone in ZONES}
+    expected = {zone: running.get(zone, 0) for zone in ZONES} | (expected or {})
     return plan_counts(
-        demand, bounds, ZONES, frozenset(dry), stand, coming, are_losses_clustered
+        demand,
+        bounds,
+        ZONES,
+        frozenset(exhausted),
+        zone_counts,
+        expected,
+        are_losses_clustered,
     )
 
 
@@ -55,8 +61,8 @@
     assert {each.reclaimable for each in plan().values()} == {3}
 
 
-def test_steady_ones_stay_until_reclaimable_ones_stand():
-    counts = plan(standing={}, steady=3)
+def test_steady_stay_until_reclaimable_run():
+    counts = plan(running={}, steady=3)
     assert sum(each.steady for each in counts.values()) == 3
 
 
@@ -67,21 +73,21 @@
 
 
 def test_lost_zone_is_replaced_before_next_loss():
-    standing = {"a": 0, "b": 2, "c": 2}
-    counts = plan(requests(20, 20), dry=("a",), standing=standing)
+    running = {"a": 0, "b": 2, "c": 2}
+    counts = plan(requests(20, 20), exhausted=("a",), running=running)
     open_zones = [counts["b"].reclaimable, counts["c"].reclaimable]
     steady = sum(each.steady for each in counts.values())
     assert sum(open_zones) - max(open_zones) + steady >= 4
 
 
 def test_cheapest_zones_come_first():
-    standing = {"a": 3, "b": 0, "c": 3}
-    counts = plan(requests(35, 35), dry=("b",), standing=standing)
+    running = {"a": 3, "b": 0, "c": 3}
+    counts = plan(requests(35, 35), exhausted=("b",), running=running)
     assert counts["a"].steady >= counts["c"].steady >= counts["b"].steady
 
 
 def test_no_zone_has_more_than_its_bound():
-    counts = plan(requests(900, 900), dry=ZONES, standing=dict.fromkeys(ZONES, 4))
+    counts = plan(requests(900, 900), exhausted=ZONES, running=dict.fromkeys(ZONES, 4))
     assert all(each.steady + each.reclaimable <= 6 for each in counts.values())
 
 
@@ -92,65 +98,65 @@
 
 
 def test_past_peak_is_covered_for_the_next_loss():
-    standing_in_a, ordered_in_b = 3, 6
+    running_in_a, expected_in_b = 3, 6
     demand = requests(peak=60, present=5)
-    counts = plan(demand, dry=("a",), coming={"b": ordered_in_b, "c": 6})
+    counts = plan(demand, exhausted=("a",), expected={"b": expected_in_b, "c": 6})
     steady = sum(each.steady for each in counts.values())
-    assert steady == 60 / 5 - standing_in_a - ordered_in_b
+    assert steady == 60 / 5 - running_in_a - expected_in_b
 
 
 def test_steady_ones_follow_the_mean_when_zones_are_lost():
     """A burst before the loss isn't covered by steady upstreams."""
     demand = requests(peak=60, present=25, mean=25)
-    for zones, standing in ((("a",), {"b": 3, "c": 3}), (("a", "b"), {"c": 3})):
-        counts = plan(demand, dry=zones, standing=standing)
+    for zones, running in ((("a",), {"b": 3, "c": 3}), (("a", "b"), {"c": 3})):
+        counts = plan(demand, exhausted=zones, running=running)
         steady = sum(each.steady for each in counts.values())
-        rest = sum(standing.values()) - max(standing.values())
+        rest = sum(running.values()) - max(running.values())
         assert steady == (25 / 5 - rest if rest else 3)
 
 
 def test_two_open_zones_can_each_carry_the_peak():
     """The next zone may leave before upstreams ordered then have started."""
-    standing = {"a": 3, "b": 3}
+    running = {"a": 3, "b": 3}
     demand = requests(peak=22, present=10)
-    counts = plan(demand, dry=("c",), standing=standing, coming={"a": 5, "b": 5})
+    counts = plan(demand, exhausted=("c",), running=running, expected={"a": 5, "b": 5})
     assert counts["a"].reclaimable >= 5
     assert counts["b"].reclaimable >= 5
     assert sum(each.steady for each in counts.values()) == 0
 
 
 def test_running_upstreams_of_exhausted_zone_count():
-    counts = plan(requests(peak=22, present=10), dry=("c",))
+    counts = plan(requests(peak=22, present=10), exhausted=("c",))
     carried = [counts["a"].reclaimable, counts["b"].reclaimable, 3]
     assert sum(carried) - max(carried) >= 5
     assert sum(each.steady for each in counts.values()) == 0
 
 
 def test_a_single_open_zone_is_backed_by_steady_ones_elsewhere():
-    counts = plan(requests(peak=28, present=28), dry=("b", "c"), standing={"a": 3})
+    counts = plan(requests(peak=28, present=28), exhausted=("b", "c"), running={"a": 3})
     assert counts["a"].reclaimable + counts["a"].steady == 6
     assert sum(each.steady for each in counts.values()) == 3
 
 
 def test_upstreams_in_exhausted_zones_count_until_next_loss():
     """No zone provides further upstreams, and one has lost all of its own."""
-    standing = {"a": 3, "b": 3}
-    counts = plan(requests(peak=25, present=10), dry=ZONES, standing=standing)
+    running = {"a": 3, "b": 3}
+    counts = plan(requests(peak=25, present=10), exhausted=ZONES, running=running)
     assert sum(each.steady for each in counts.values()) == 2
 
 
 def test_last_running_zone_is_backed_by_steady_ones():
-    counts = plan(requests(peak=20, present=20), dry=ZONES, standing={"a": 4})
+    counts = plan(requests(peak=20, present=20), exhausted=ZONES, running={"a": 4})
     assert sum(each.steady for each in counts.values()) == 2
 
 
 def test_without_reclaimable_ones_all_work_is_carried_by_steady_ones():
-    counts = plan(requests(peak=30, present=20), dry=ZONES, standing={})
+    counts = plan(requests(peak=30, present=20), exhausted=ZONES, running={})
     assert sum(each.steady for each in counts.values()) >= 4
 
 
 def test_no_steady_ones_are_ordered_while_reclaimable_ones_start():
-    counts = plan(requests(peak=22, present=22), standing={"a": 3})
+    counts = plan(requests(peak=22, present=22), running={"a": 3})
     assert sum(each.steady for each in counts.values()) == 0
 
 
@@ -161,28 +167,30 @@
 
 def test_plan_is_stable_when_exhausted_zones_reopen():
     """A zone counts as exhausted until it's asked again, even if no order is due."""
-    standing = {"a": 3, "b": 3}
+    running = {"a": 3, "b": 3}
     demand = requests(peak=22, present=22)
-    dry = plan(demand, dry=ZONES, standing=standing)
-    partly = plan(demand, dry=("b", "c"), standing=standing)
-    assert {zone: each.reclaimable for zone, each in dry.items()} == {
+    exhausted = plan(demand, exhausted=ZONES, running=running)
+    partly = plan(demand, exhausted=("b", "c"), running=running)
+    assert {zone: each.reclaimable for zone, each in exhausted.items()} == {
         zone: each.reclaimable for zone, each in partly.items()
     }
 
 
 def test_other_zones_replace_a_full_zone():
     """The running zone is full and may be lost next."""
-    counts = plan(requests(peak=60, present=60), dry=ZONES, standing={"a": 6})
+    counts = plan(requests(peak=60, present=60), exhausted=ZONES, running={"a": 6})
     assert counts["a"].steady == 0
     assert counts["b"].steady + counts["c"].steady == 60 / REQUESTS_EACH - 6
 
 
 def test_all_work_is_covered_when_losses_are_clustered():
     """The third zone is lost before upstreams ordered then have started."""
-    standing = {"a": 0, "b": 0, "c": 6}
+    running = {"a": 0, "b": 0, "c": 6}
     demand = requests(peak=30, present=20, mean=20)
-    apart = plan(demand, dry=("a", "b"), standing=standing)
-    close = plan(demand, dry=("a", "b"), standing=standing, are_losses_clustered=True)
+    apart = plan(demand, exhausted=("a", "b"), running=running)
+    close = plan(
+        demand, exhausted=("a", "b"), running=running, are_losses_clustered=True
+    )
     assert sum(each.steady for each in apart.values()) == 2
     assert sum(each.steady for each in close.values()) == 6
 
--- a/tests/relaying/test_silence.py
+++ b/tests/relaying/test_silence.py
@@ -45,7 +45,7 @@
     return [each.id for each in host.catalog.working("plain")]
 
 
-class Judged:
+class DetectorSetup:
     """A control host's catalog with a detector that checks once a second."""
 
     def __init__(self) -> None:
@@ -57,14 +57,14 @@
         quorum_monitor = QuorumMonitor(
             "c0", lambda: ["c0", "c1", "c2"], lambda: self.reached, self.clock.now
         )
-        self.judge = SilenceDetector(self.catalog, self.clock.now, quorum_monitor)
+        self.detector = SilenceDetector(self.catalog, self.clock.now, quorum_monitor)
         self.catalog.record(announcement())
 
-    def look_for(self, seconds: int) -> None:
+    def run_checks(self, seconds: int) -> None:
         """Let time pass."""
         for _ in range(seconds):
             self.clock.time += 1.0
-            self.judge.check()
+            self.detector.check()
 
     @property
     def is_silent(self) -> bool:
@@ -73,112 +73,112 @@
 
 
 def test_upstream_is_silent_after_twenty_seconds():
-    judged = Judged()
-    judged.look_for(20)
-    assert not judged.is_silent
-    judged.look_for(1)
-    assert judged.is_silent and judged.catalog.working("plain") == []
+    setup = DetectorSetup()
+    setup.run_checks(20)
+    assert not setup.is_silent
+    setup.run_checks(1)
+    assert setup.is_silent and setup.catalog.working("plain") == []
 
 
 def test_host_without_quorum_marks_nothing_silent():
-    judged = Judged()
-    judged.reached = []
-    judged.look_for(60)
-    judged.reached = ["c1"]
-    judged.look_for(19)
-    assert not judged.is_silent
-    judged.look_for(2)
-    assert judged.is_silent
+    setup = DetectorSetup()
+    setup.reached = []
+    setup.run_checks(60)
+    setup.reached = ["c1"]
+    setup.run_checks(19)
+    assert not setup.is_silent
+    setup.run_checks(2)
+    assert setup.is_silent
 
 
 def test_upstream_of_unreachable_control_host_is_marked_late():
-    judged = Judged()
-    judged.clock.time += 0.5
-    judged.catalog.record(announcement(sequence=2), told_by="c1", heard_by="c2")
-    judged.reached = ["c1"]
-    judged.look_for(300)
-    assert not judged.is_silent
-    judged.look_for(1)
-    assert judged.is_silent
-    judged.catalog.record(announcement(sequence=3), told_by="c1", heard_by="c2")
-    judged.look_for(60)
-    assert not judged.is_silent
-    judged.reached = ["c1", "c2"]
-    judged.look_for(1)
-    assert judged.is_silent
+    setup = DetectorSetup()
+    setup.clock.time += 0.5
+    setup.catalog.record(announcement(sequence=2), told_by="c1", heard_by="c2")
+    setup.reached = ["c1"]
+    setup.run_checks(300)
+    assert not setup.is_silent
+    setup.run_checks(1)
+    assert setup.is_silent
+    setup.catalog.record(announcement(sequence=3), told_by="c1", heard_by="c2")
+    setup.run_checks(60)
+    assert not setup.is_silent
+    setup.reached = ["c1", "c2"]
+    setup.run_checks(1)
+    assert setup.is_silent
 
 
 def test_frozen_host_marks_nothing_silent():
-    judged = Judged()
-    judged.clock.time += 30.0
-    judged.look_for(19)
-    assert not judged.is_silent
-    judged.look_for(2)
-    assert judged.is_silent
+    setup = DetectorSetup()
+    setup.clock.time += 30.0
+    setup.run_checks(19)
+    assert not setup.is_silent
+    setup.run_checks(2)
+    assert setup.is_silent
 
 
 def test_announcement_ends_silence_at_once():
-    judged = Judged()
-    judged.look_for(30)
-    before = judged.catalog.version
-    judged.catalog.record(announcement(sequence=1))
-    assert not judged.is_silent and judged.catalog.working("plain")
-    assert judged.catalog.version > before
+    setup = DetectorSetup()
+    setup.run_checks(30)
+    before = setup.catalog.version
+    setup.catalog.record(announcement(sequence=1))
+    assert not setup.is_silent and setup.catalog.working("plain")
+    assert setup.catalog.version > before
 
 
 def test_announcement_that_came_before_the_silence_does_not_end_it():
-    judged = Judged()
-    judged.look_for(30)
-    judged.catalog.record(announcement(sequence=1), age=15.0)
-    assert judged.is_silent
+    setup = DetectorSetup()
+    setup.run_checks(30)
+    setup.catalog.record(announcement(sequence=1), age=15.0)
+    assert setup.is_silent
 
 
 def test_restart_and_end_clear_silence():
-    judged = Judged()
-    judged.look_for(30)
-    judged.catalog.record(announcement(incarnation=7))
-    assert not judged.catalog.silent and judged.catalog.working("plain")
-    judged.look_for(30)
-    judged.catalog.mark_gone("u1")
-    assert not judged.catalog.silent and not judged.catalog.working("plain")
+    setup = DetectorSetup()
+    setup.run_checks(30)
+    setup.catalog.record(announcement(incarnation=7))
+    assert not setup.catalog.silent and setup.catalog.working("plain")
+    setup.run_checks(30)
+    setup.catalog.mark_gone("u1")
+    assert not setup.catalog.silent and not setup.catalog.working("plain")
 
 
 def test_reported_silence_yields_to_later_announcement():
-    judged = Judged()
-    judged.look_for(10)
-    judged.catalog.record(announcement(sequence=1))
-    judged.look_for(5)
-    judged.catalog.mark_silent(KEY, age=20.0, told_by="c1")
-    assert not judged.is_silent
-    judged.catalog.mark_silent(("u1", 7), age=0.0, told_by="c1")
-    judged.catalog.mark_silent(("u9", 0), age=0.0, told_by="c1")
-    assert not judged.catalog.silent
-    judged.catalog.mark_silent(KEY, age=4.0, told_by="c1")
-    assert judged.is_silent
+    setup = DetectorSetup()
+    setup.run_checks(10)
+    setup.catalog.record(announcement(sequence=1))
+    setup.run_checks(5)
+    setup.catalog.mark_silent(KEY, age=20.0, told_by="c1")
+    assert not setup.is_silent
+    setup.catalog.mark_silent(("u1", 7), age=0.0, told_by="c1")
+    setup.catalog.mark_silent(("u9", 0), age=0.0, told_by="c1")
+    assert not setup.catalog.silent
+    setup.catalog.mark_silent(KEY, age=4.0, told_by="c1")
+    assert setup.is_silent
 
 
 def test_silent_upstreams_are_usable_only_where_no_other_is():
-    judged = Judged()
-    judged.look_for(30)
-    assert [each.id for each in judged.catalog.usable("plain")] == ["u1"]
-    judged.catalog.record(announcement("u2"))
-    assert [each.id for each in judged.catalog.usable("plain")] == ["u2"]
+    setup = DetectorSetup()
+    setup.run_checks(30)
+    assert [each.id for each in setup.catalog.usable("plain")] == ["u1"]
+    setup.catalog.record(announcement("u2"))
+    assert [each.id for each in setup.catalog.usable("plain")] == ["u2"]
 
 
 def test_long_silent_upstream_is_removed_and_may_return():
-    judged = Judged()
+    setup = DetectorSetup()
     forgotten = []
-    judged.catalog.subscribe_forgotten(forgotten.append)
-    judged.look_for(30)
-    judged.clock.time += 600.0
-    judged.catalog.forget_silent(600.0)
+    setup.catalog.subscribe_forgotten(forgotten.append)
+    setup.run_checks(30)
+    setup.clock.time += 600.0
+    setup.catalog.forget_silent(600.0)
     assert [each.id for each in forgotten] == ["u1"]
-    assert judged.catalog.all() == [] and not judged.catalog.silent
-    judged.catalog.record(announcement(sequence=9))
-    assert judged.catalog.working("plain")
+    assert setup.catalog.all() == [] and not setup.catalog.silent
+    setup.catalog.record(announcement(sequence=9))
+    assert setup.catalog.working("plain")
 
 
-class Voted:
+class VoteSetup:
     """An entry host's catalog with the votes of control hosts."""
 
     def __init__(self) -> None:
@@ -194,44 +194,44 @@
 
 
 def test_one_control_host_keeps_upstream_working():
-    voted = Voted()
-    voted.votes.record_reply("c0", answer(u1=False))
-    voted.votes.record_reply("c1", answer(u1=True))
-    assert not voted.is_silent
-    voted.votes.record_reply("c0", answer(u1=True))
-    assert voted.is_silent
-    voted.votes.record_reply("c1", answer(u1=False))
-    assert not voted.is_silent
+    setup = VoteSetup()
+    setup.votes.record_reply("c0", answer(u1=False))
+    setup.votes.record_reply("c1", answer(u1=True))
+    assert not setup.is_silent
+    setup.votes.record_reply("c0", answer(u1=True))
+    assert setup.is_silent
+    setup.votes.record_reply("c1", answer(u1=False))
+    assert not setup.is_silent
 
 
 def test_vote_of_silent_control_host_expires():
-    voted = Voted()
-    voted.votes.record_reply("c0", answer(u1=False))
-    voted.clock.time += 19.0
-    voted.votes.record_reply("c1", answer(u1=True))
-    assert not voted.is_silent
-    voted.clock.time += 2.0
-    voted.votes.record_reply("c1", answer())
-    assert voted.is_silent
+    setup = VoteSetup()
+    setup.votes.record_reply("c0", answer(u1=False))
+    setup.clock.time += 19.0
+    setup.votes.record_reply("c1", answer(u1=True))
+    assert not setup.is_silent
+    setup.clock.time += 2.0
+    setup.votes.record_reply("c1", answer())
+    assert setup.is_silent
 
 
 def test_vote_counts_again_once_control_host_answers():
     """A control host's reply holds only changes since its last one."""
-    voted = Voted()
+    setup = VoteSetup()
     for control_host in ("c0", "c1"):
-        voted.votes.record_reply(control_host, answer(u1=True))
-    voted.clock.time += 25.0
-    voted.votes.record_reply("c1", answer())
-    voted.votes.record_reply("c0", answer())
-    assert voted.is_silent
+        setup.votes.record_reply(control_host, answer(u1=True))
+    setup.clock.time += 25.0
+    setup.votes.record_reply("c1", answer())
+    setup.votes.record_reply("c0", answer())
+    assert setup.is_silent
 
 
 def test_restarted_control_host_has_no_votes():
-    voted = Voted()
-    voted.votes.record_reply("c0", answer(u1=True))
-    assert voted.is_silent
-    voted.votes.record_reply("c0", answer(epoch=2))
-    assert not voted.is_silent
+    setup = VoteSetup()
+    setup.votes.record_reply("c0", answer(u1=True))
+    assert setup.is_silent
+    setup.votes.record_reply("c0", answer(epoch=2))
+    assert not setup.is_silent
 
 
 ANSWERS = st.tuples(st.sampled_from(SEEDS), st.booleans(), st.integers(1, 2))
@@ -239,15 +239,15 @@
 
 @given(st.lists(ANSWERS, min_size=1, max_size=20))
 def test_silent_requires_all_latest_votes(answers):
-    voted = Voted()
-    told: dict[str, bool] = {}
+    setup = VoteSetup()
+    latest: dict[str, bool] = {}
     for control_host, is_silent, epoch in answers:
-        voted.votes.record_reply(control_host, answer(epoch, u1=is_silent))
-        told[control_host] = is_silent
-        assert voted.is_silent == all(told.values())
+        setup.votes.record_reply(control_host, answer(epoch, u1=is_silent))
+        latest[control_host] = is_silent
+        assert setup.is_silent == all(latest.values())
 
 
-async def announce_once_and_fall_silent(world) -> None:
+async def announce_once_then_wait(world) -> None:
     """Let an upstream announce itself once and become silent on all hosts."""
     await world.announce("c0:1", "u1", "plain")
     await trio.sleep(24.0)
@@ -260,7 +260,7 @@
     autojump_clock, is_disk_lost
 ):
     async with open_world() as world:
-        await announce_once_and_fall_silent(world)
+        await announce_once_then_wait(world)
         world.kill("c2:1", is_disk_lost=is_disk_lost)
         await trio.sleep(2.0)
         await world.start_control("c2:1", SEEDS, is_first=False)
@@ -275,7 +275,7 @@
     autojump_clock,
 ):
     async with open_world() as world:
-        await announce_once_and_fall_silent(world)
+        await announce_once_then_wait(world)
         world.network.cut("e0:1", "c2:1")
         world.network.cut("c2:1", "e0:1")
         await trio.sleep(25.0)
@@ -289,7 +289,7 @@
     autojump_clock,
 ):
     async with open_world() as world:
-        await announce_once_and_fall_silent(world)
+        await announce_once_then_wait(world)
         await world.start_entry("e9:1", SEEDS)
         await trio.sleep(1.0)
         assert working(world.entries["e9:1"]) == []
@@ -300,7 +300,7 @@
         name = f"pepperstep.programs.{host}._FORGET_SECONDS"
         monkeypatch.setattr(name, 30.0)
     async with open_world() as world:
-        await announce_once_and_fall_silent(world)
+        await announce_once_then_wait(world)
         await trio.sleep(32.0)
         for host in [*world.controls.values(), *world.entries.values()]:
             assert host.catalog.all() == []
--- a/tests/relaying/test_table_changes.py
+++ b/tests/relaying/test_table_changes.py
@@ -168,18 +168,18 @@
         data = document_with(2, routes(HUGE_ROUTES // 4))
         await world.put(2, data)
         await trio.sleep(2.0)
-        asked = []
+        requested = []
         world.network.before = lambda sender, receiver, message: (
-            asked.append((receiver, message.offset))
+            requested.append((receiver, message.offset))
             if message.DESCRIPTOR.name == "TableRequest"
             else None
         )
         world.network.rates["late:1"] = LINK_BYTES_A_SECOND
         seeds = tuple(sorted(world.controls))[:3]
         late = await world.start_entry("late:1", seeds)
-        await wait_for(lambda: len(asked) >= 3, 2.0)
-        world.cut_off(asked[-1][0], ["late:1"])
+        await wait_for(lambda: len(requested) >= 3, 2.0)
+        world.cut_off(requested[-1][0], ["late:1"])
         await wait_for(lambda: late.tables.current.version == 2, 5.0)
-        offsets = [offset for _, offset in asked]
-        assert len({receiver for receiver, _ in asked}) == 2
+        offsets = [offset for _, offset in requested]
+        assert len({receiver for receiver, _ in requested}) == 2
         assert offsets.count(0) == 1
--- a/tests/relaying/test_upstream_events.py
+++ b/tests/relaying/test_upstream_events.py
@@ -20,13 +20,13 @@
 @pytest.fixture
 def events(monkeypatch):
     """Return the list of events that all hosts of a world log."""
-    kept = []
+    collected = []
 
-    def keep(text: str, event: object = None, *_: object) -> None:
-        kept.append(event)
+    def collect(text: str, event: object = None, *_: object) -> None:
+        collected.append(event)
 
-    monkeypatch.setattr(logging, "info", keep)
-    return kept
+    monkeypatch.setattr(logging, "info", collect)
+    return collected
 
 
 def states(events: list) -> set[tuple[str, str, str]]:
--- a/tests/relaying/test_upstream_views.py
+++ b/tests/relaying/test_upstream_views.py
@@ -21,7 +21,7 @@
 SILENT_SECONDS = 45.0
 
 
-class Views:
+class Scenario:
     """Upstreams that announce themselves at faulty control hosts."""
 
     def __init__(self, world, seed: int):
@@ -71,12 +71,14 @@
             else:
                 self.ended_at[upstream] = trio.current_time()
 
-    async def trouble(self) -> None:
+    async def cause_faults(self) -> None:
         """Cause faults of control hosts, one at a time."""
         while True:
             await trio.sleep(self._rng.uniform(2.0, 8.0))
-            act = self._rng.choice([self._cut, self._freeze, self._kill])
-            await act(self._rng.choice(SEEDS), self._rng.choice([1.0, 5.0, 25.0, 40.0]))
+            fault = self._rng.choice([self._cut, self._freeze, self._kill])
+            await fault(
+                self._rng.choice(SEEDS), self._rng.choice([1.0, 5.0, 25.0, 40.0])
+            )
 
     async def _cut(self, host: str, seconds: float) -> None:
         self._world.cut_off(host, SEEDS)
@@ -97,7 +99,7 @@
         await self._world.start_control(host, SEEDS, is_first=False)
         self._killed.discard(host)
 
-    def check(self) -> None:
+    def check_views(self) -> None:
         """Assert that entry hosts use live upstreams and none that has ended."""
         now = trio.current_time()
         for name, entry in self._world.entries.items():
@@ -116,17 +118,17 @@
 @pytest.mark.parametrize("seed", range(12))
 async def test_entry_hosts_use_all_live_upstreams(autojump_clock, seed):
     async with open_world(seed=seed) as world, trio.open_nursery() as nursery:
-        views = Views(world, seed)
+        scenario = Scenario(world, seed)
         for number in range(6):
-            nursery.start_soon(views.announce_forever, f"u{number}")
-        nursery.start_soon(views.trouble)
+            nursery.start_soon(scenario.announce_forever, f"u{number}")
+        nursery.start_soon(scenario.cause_faults)
         for second in range(150):
             await trio.sleep(1.0)
-            views.check()
+            scenario.check_views()
             if second == 60:
-                nursery.start_soon(views.end, "u0")
+                nursery.start_soon(scenario.end, "u0")
             if second == 70:
-                views.crashed_at["u1"] = trio.current_time()
+                scenario.crashed_at["u1"] = trio.current_time()
         nursery.cancel_scope.cancel()
 
 
@@ -134,11 +136,11 @@
     autojump_clock,
 ):
     async with open_world() as world, trio.open_nursery() as nursery:
-        views = Views(world, 0)
-        nursery.start_soon(views.announce_forever, "u0")
+        scenario = Scenario(world, 0)
+        nursery.start_soon(scenario.announce_forever, "u0")
         await trio.sleep(5.0)
-        views.crashed_at["u0"] = trio.current_time()
-        await views._cut("c0:1", 5.0)
+        scenario.crashed_at["u0"] = trio.current_time()
+        await scenario._cut("c0:1", 5.0)
         await trio.sleep(SILENT_SECONDS - 5.0)
         for entry in world.entries.values():
             assert entry.catalog.working("plain") == []
