--- a/proofs/relay.py
+++ b/proofs/relay.py
@@ -529,7 +529,7 @@
         "needed_on_average = needed",
         (
             "tests/relaying/test_scaling.py::"
-            "test_steady_ones_follow_the_mean_when_zones_are_lost",
+            "test_steady_follow_the_mean_when_zones_are_lost",
         ),
     ),
     Mechanism(
--- a/src/pepperstep/coordination/upstream_catalog.py
+++ b/src/pepperstep/coordination/upstream_catalog.py
@@ -273,8 +273,8 @@
     def mark_silent(self, upstream: UpstreamKey, age: float, told_by: str) -> None:
         """Mark an upstream silent on the report of another host.
 
-        `age` is how long ago, in seconds, that host's latest announcement arrived. The
-        report is ignored if this host has a later one.
+        `age` is the age in seconds of the latest announcement that the other host has.
+        The report is ignored if this host has a later one.
         """
         entry = self._entry_of(upstream)
         if entry is None:
--- a/tests/relaying/test_scaling.py
+++ b/tests/relaying/test_scaling.py
@@ -91,7 +91,7 @@
     assert all(each.steady + each.reclaimable <= 6 for each in counts.values())
 
 
-def test_past_peak_keeps_reclaimable_ones_only():
+def test_past_peak_keeps_only_reclaimable():
     counts = plan(requests(peak=60, present=5))
     assert sum(each.steady for each in counts.values()) == 0
     assert all(each.reclaimable == 6 for each in counts.values())
@@ -105,7 +105,7 @@
     assert steady == 60 / 5 - running_in_a - expected_in_b
 
 
-def test_steady_ones_follow_the_mean_when_zones_are_lost():
+def test_steady_follow_the_mean_when_zones_are_lost():
     """A burst before the loss isn't covered by steady upstreams."""
     demand = requests(peak=60, present=25, mean=25)
     for zones, running in ((("a",), {"b": 3, "c": 3}), (("a", "b"), {"c": 3})):
@@ -132,7 +132,7 @@
     assert sum(each.steady for each in counts.values()) == 0
 
 
-def test_a_single_open_zone_is_backed_by_steady_ones_elsewhere():
+def test_single_available_zone_is_backed_by_steady_elsewhere():
     counts = plan(requests(peak=28, present=28), exhausted=("b", "c"), running={"a": 3})
     assert counts["a"].reclaimable + counts["a"].steady == 6
     assert sum(each.steady for each in counts.values()) == 3
@@ -145,17 +145,17 @@
     assert sum(each.steady for each in counts.values()) == 2
 
 
-def test_last_running_zone_is_backed_by_steady_ones():
+def test_last_running_zone_is_backed_by_steady():
     counts = plan(requests(peak=20, present=20), exhausted=ZONES, running={"a": 4})
     assert sum(each.steady for each in counts.values()) == 2
 
 
-def test_without_reclaimable_ones_all_work_is_carried_by_steady_ones():
+def test_steady_carry_all_work_without_reclaimable():
     counts = plan(requests(peak=30, present=20), exhausted=ZONES, running={})
     assert sum(each.steady for each in counts.values()) >= 4
 
 
-def test_no_steady_ones_are_ordered_while_reclaimable_ones_start():
+def test_no_steady_are_ordered_while_reclaimable_start():
     counts = plan(requests(peak=22, present=22), running={"a": 3})
     assert sum(each.steady for each in counts.values()) == 0
 
