--- a/proofs/changes.py
+++ b/proofs/changes.py
@@ -7,7 +7,7 @@
 _TABLES = "tests/relaying/test_table_changes.py::"
 _UPDATES = "tests/relaying/test_table_updates.py::"
 _HOSTS = "tests/rollouts/test_hosts.py::"
-_JUDGEMENT = "tests/rollouts/test_judgement.py::"
+_EVALUATION = "tests/rollouts/test_judgement.py::"
 _MACHINE = "tests/rollouts/test_machine.py::"
 _VERSIONS = "tests/rollouts/test_versions.py::"
 
@@ -98,22 +98,22 @@
     Mechanism(
         7,
         "outcomes since the latest step are judged alone, too",
-        "rollouts/judgement.py",
+        "rollouts/evaluation.py",
         "    if before is not None:",
         "    if False:",
         (
-            f"{_JUDGEMENT}"
+            f"{_EVALUATION}"
             "test_version_that_turns_bad_by_its_load_is_found_in_spite_of_its_record",
         ),
     ),
     Mechanism(
         7,
         "what one of several upstreams does isn't its version's fault",
-        "rollouts/judgement.py",
+        "rollouts/evaluation.py",
         "    if len(upstreams) < 2:",
         "    if True:",
         (
-            f"{_JUDGEMENT}"
+            f"{_EVALUATION}"
             "test_what_one_of_several_upstreams_does_is_not_the_versions_fault",
         ),
     ),
--- a/src/pepperstep/programs/control_host.py
+++ b/src/pepperstep/programs/control_host.py
@@ -69,8 +69,10 @@
             peers=ports.peers,
             timers=ports.timers,
             rng=ports.rng,
-            contacts=tuple(seed for seed in settings.seeds if seed != self._peer_name),
-            size=2 * control.tolerated_losses + 1,
+            seed_hosts=tuple(
+                seed for seed in settings.seeds if seed != self._peer_name
+            ),
+            target_voter_count=2 * control.tolerated_losses + 1,
         )
         self.tables = TableStore(ports.decode)
         self.machine = TableMachine(self.tables.install)
--- a/src/pepperstep/programs/entry_host.py
+++ b/src/pepperstep/programs/entry_host.py
@@ -26,15 +26,15 @@
     RetryBudget,
     RunCounts,
 )
-from pepperstep.relay.attempt import Attempts
+from pepperstep.relay.attempt import AttemptRunner
 from pepperstep.relay.backoff import Backoff
 from pepperstep.relay.budget import BudgetSettings
-from pepperstep.relay.journal import RelayJournal
-from pepperstep.relay.keepers import Keepers
+from pepperstep.relay.keepers import KeyOwners
 from pepperstep.relay.permits import Permits
-from pepperstep.relay.prompts import PromptMemory
+from pepperstep.relay.prompts import PrefillTracker
 from pepperstep.relay.quota_claims import QuotaClaims
 from pepperstep.relay.quotas import QuotaTolerance
+from pepperstep.relay.recorder import RelayRecorder
 from pepperstep.relay.shared_load import SharedLoad
 from pepperstep.relay.signals import AnswerSignals
 from pepperstep.rollouts import (
@@ -84,7 +84,7 @@
         self._quotas = Quotas(
             self._host_count, now, tolerance, self._is_in_contact, ports.rng.random()
         )
-        keepers = Keepers(
+        keepers = KeyOwners(
             settings.peer_address,
             ports.peers,
             ports.timers,
@@ -92,7 +92,7 @@
         )
         claims = QuotaClaims(keepers, ports.peers, self._quotas)
         self._counts = RunCounts(bounds.usage_window, self._true_time)
-        prompts = PromptMemory(now)
+        prompts = PrefillTracker(now)
         self._shared_load = SharedLoad(
             keepers,
             ports.peers,
@@ -144,7 +144,7 @@
             self._share,
             now,
         )
-        attempts = Attempts(
+        attempts = AttemptRunner(
             ports.wire,
             self._pools,
             self.catalog,
@@ -164,16 +164,16 @@
             self._quotas,
             claims,
             budget,
-            RelayJournal(self.metrics, self.tables, self.catalog, ports.timers),
+            RelayRecorder(self.metrics, self.tables, self.catalog, ports.timers),
             ports.timers,
             ports.rng,
             self._takes_streams,
         )
         self._watch_gauges()
         self.tables.subscribe(self._quotas.watch)
-        self.sync.on_admitted = self._quotas.note_elsewhere
-        self.sync.on_restart = self._quotas.note_restart
-        self.sync.needs_fresh_counts = lambda: self._quotas.is_pressed
+        self.sync.on_admitted = self._quotas.record_spent_elsewhere
+        self.sync.on_restart = self._quotas.refill_after_restart
+        self.sync.needs_fresh_counts = lambda: self._quotas.has_active_workspace
         self.catalog.subscribe(self._note_upstream)
         self.catalog.subscribe_restarts(self._note_ended)
         self.catalog.subscribe_forgotten(self._note_forgotten)
@@ -264,14 +264,14 @@
     ) -> None:
         rollout = self.versions.get(upstream.service)
         if rollout is not None and rollout.is_running:
-            self._observer.note_outcome(rollout, route, upstream, seconds, expected)
+            self._observer.record_outcome(rollout, route, upstream, seconds, expected)
 
     def _take_rollouts(self, reply: pb.SyncReply) -> None:
         if reply.judge:
             self._observer.judge = reply.judge
         for message in reply.rollouts:
             rollout = Rollout.from_message(message)
-            if self.versions.take(rollout):
+            if self.versions.update(rollout):
                 logging.info(
                     "entry: Roll-out %d of %s to %s is %s at %.0f%%.",
                     rollout.number,
@@ -283,19 +283,19 @@
                 self._observer.wake()
 
     def _note_upstream(self, announcement: Announcement) -> None:
-        self.versions.note_upstream(announcement)
+        self.versions.observe_upstream(announcement)
         if not announcement.takes_work:
-            self._pools.drop(announcement.key)
+            self._pools.close_idle(announcement.key)
         if announcement.is_gone:
             self._forget(announcement.key)
 
     def _note_ended(self, before: Announcement) -> None:
         """Drop what an upstream had in the incarnation before its restart."""
-        self._pools.cut(before.key)
+        self._pools.close_all(before.key)
         self._forget(before.key)
 
     def _note_forgotten(self, upstream: Announcement) -> None:
-        self._pools.drop(upstream.key)
+        self._pools.close_idle(upstream.key)
         self._forget(upstream.key)
         self._silence_votes.forget(upstream.key)
 
--- a/src/pepperstep/relay/attempt.py
+++ b/src/pepperstep/relay/attempt.py
@@ -24,7 +24,7 @@
 from pepperstep.relay.pools import Pools
 from pepperstep.relay.signals import AnswerSignals
 
-__all__ = ["Attempt", "Attempts", "NoteOutcome", "Outcome"]
+__all__ = ["Attempt", "AttemptRunner", "NoteOutcome", "Outcome"]
 
 # Answers up to this size are read whole before their head is sent on, so that
 # one that breaks off can be tried again; in bytes.
@@ -104,7 +104,7 @@
         return self.facts.attempt_id.decode("latin-1")
 
 
-class Attempts:
+class AttemptRunner:
     """Sends requests to upstreams and passes their answers on."""
 
     def __init__(
@@ -377,7 +377,7 @@
             return
         attempt.is_unread = False
         seconds = self._timers.now() - attempt.begun_at if is_read else None
-        self._chooser.note_read(attempt.choice, seconds)
+        self._chooser.record_prefill(attempt.choice, seconds)
 
     def _count(self, attempt: Attempt) -> None:
         """Take in that a run's first token or answer is there."""
--- a/src/pepperstep/relay/permits.py
+++ b/src/pepperstep/relay/permits.py
@@ -20,7 +20,7 @@
 from pepperstep.ports import PeerNetwork, Timers
 from pepperstep.proto import coordination_pb2 as pb
 from pepperstep.relay.backoff import Backoff
-from pepperstep.relay.keepers import Keepers
+from pepperstep.relay.keepers import KeyOwners
 
 __all__ = ["Permits"]
 
@@ -87,7 +87,7 @@
         self,
         catalog: UpstreamCatalog,
         backoff: Backoff,
-        keepers: Keepers,
+        keepers: KeyOwners,
         network: PeerNetwork,
         host_count: Callable[[], int],
         timers: Timers,
--- a/src/pepperstep/relay/journal.py
+++ b/src/pepperstep/relay/recorder.py
@@ -20,7 +20,7 @@
 from pepperstep.relay.choice import Choice
 from pepperstep.relay.quotas import Admission, QuotaState
 
-__all__ = ["RelayJournal"]
+__all__ = ["RelayRecorder"]
 
 _NO_CLASS = "none"
 # Characters of a request's target in a line: routes' hosts and prefixes are shorter,
@@ -28,7 +28,7 @@
 _MAX_TARGET = 120
 
 
-class RelayJournal:
+class RelayRecorder:
     """Events and metrics of one host's relay."""
 
     def __init__(
--- a/src/pepperstep/relay/relay.py
+++ b/src/pepperstep/relay/relay.py
@@ -10,13 +10,13 @@
 from pepperstep.ports import Timers
 from pepperstep.ports.exchange import CallerGone, Exchange
 from pepperstep.ports.relaying import RelayWire, RequestFacts
-from pepperstep.relay.attempt import Attempt, Attempts, Outcome
+from pepperstep.relay.attempt import Attempt, AttemptRunner, Outcome
 from pepperstep.relay.budget import RetryBudget
 from pepperstep.relay.choice import Choice, Chooser
-from pepperstep.relay.journal import RelayJournal
 from pepperstep.relay.permits import Permits
 from pepperstep.relay.quota_claims import QuotaClaims
 from pepperstep.relay.quotas import Quotas
+from pepperstep.relay.recorder import RelayRecorder
 from pepperstep.tasks import run_beside
 
 __all__ = ["Relay"]
@@ -51,11 +51,11 @@
         catalog: UpstreamCatalog,
         chooser: Chooser,
         permits: Permits,
-        attempts: Attempts,
+        attempts: AttemptRunner,
         quotas: Quotas,
         claims: QuotaClaims,
         budget: RetryBudget,
-        journal: RelayJournal,
+        recorder: RelayRecorder,
         timers: Timers,
         rng: random.Random,
         takes_streams: Callable[[], bool],
@@ -69,7 +69,7 @@
         self._quotas = quotas
         self._claims = claims
         self._budget = budget
-        self._journal = journal
+        self._journal = recorder
         self._timers = timers
         self._rng = rng
         self._takes_streams = takes_streams
--- a/src/pepperstep/rollouts/director.py
+++ b/src/pepperstep/rollouts/director.py
@@ -13,7 +13,7 @@
 from pepperstep.observability.decisions import RolloutMoved
 from pepperstep.ports import Agreement, PeerNetwork, Timers
 from pepperstep.proto import rollouts_pb2 as pb
-from pepperstep.rollouts.judgement import Verdict, judge
+from pepperstep.rollouts.evaluation import Verdict, judge
 from pepperstep.rollouts.machine import ROLLOUT_MACHINE, RolloutMachine
 from pepperstep.rollouts.outcomes import Outcomes
 from pepperstep.rollouts.plan import ExposureBound, Move, Situation, next_move
