--- a/src/pepperstep/coordination/table_fetcher.py
+++ b/src/pepperstep/coordination/table_fetcher.py
@@ -1,8 +1,8 @@
-"""Fetches the operators' document when a control host tells of a newer one.
+"""Fetches the operators' document when a control host has a newer version.
 
-Control hosts tell each host of new versions; what changed is asked of one of them
-at a time, part by part. So a large table crosses a host's link once, and callers'
-answers aren't held up behind it.
+Control hosts announce new versions in their replies. The changes are requested from one
+of them at a time, in parts. So a large table crosses a host's link once and doesn't
+delay callers' answers.
 """
 
 from collections.abc import Callable
@@ -22,33 +22,32 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchSettings:
-    """Times in seconds."""
+    """Timing in seconds."""
 
-    # Between the news of a version and the first question for it: control hosts have
-    # it from the log, mostly before they ask.
+    # Between the announcement of a version and the first request for it. Control hosts
+    # mostly receive it through the log meanwhile.
     delay: float = 0.0
-    # One question with a part as its answer.
+    # For a request and its reply with one part.
     timeout: float = 1.0
-    # Until a control host is asked again that didn't answer, or whose update can't be
-    # used.
+    # Pause after a control host failed to answer or sent an unusable update.
     pause: float = 1.0
-    # Between looks for a control host to ask, where all are passed over.
+    # Pause before choosing again while all control hosts are backed off.
     backoff: float = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class _Partial:
-    """What has come of an update."""
+    """The parts of an update received so far."""
 
     digest: int = 0
     data: bytes = b""
 
 
 class TableFetcher:
-    """Keeps a host's table as new as what its control hosts tell of.
+    """Keeps a host's table at the newest version that its control hosts announce.
 
-    `rank` gives the order in which control hosts are asked; hosts differ in it, so
-    that a change doesn't load one control host with all of them.
+    `rank` orders the control hosts to ask. It differs between hosts, so that a change
+    doesn't load a single control host.
     """
 
     def __init__(
@@ -64,88 +63,88 @@
         self._tables = tables
         self._rank = rank
         self._settings = settings or FetchSettings()
-        self._told: dict[str, int] = {}
-        # Time until which a control host is passed over.
-        self._passed_until: dict[str, float] = {}
+        self._versions: dict[str, int] = {}
+        # Monotonic time until which each control host is skipped.
+        self._backoff_until: dict[str, float] = {}
         self._partial = _Partial()
-        # Whether steps didn't fit, so that the whole document is asked for.
+        # Whether an update by steps failed, so that the whole document is needed.
         self._needs_whole = False
-        self._news = trio.Event()
+        self._newer_version = trio.Event()
 
-    def told_by(self, control_host: str) -> int:
-        """Return the newest version that a control host has told of."""
-        return self._told.get(control_host, 0)
+    def latest_version_of(self, control_host: str) -> int:
+        """Return the latest version announced by a control host, 0 if there is none."""
+        return self._versions.get(control_host, 0)
 
-    def note_told(self, control_host: str, version: int) -> None:
-        """Take in the version that a control host has."""
-        self._told[control_host] = version
+    def record_version(self, control_host: str, version: int) -> None:
+        """Record the version that a control host announces."""
+        self._versions[control_host] = version
         if version > self._tables.current.version:
-            self._news.set()
+            self._newer_version.set()
 
     def forget(self, control_host: str) -> None:
-        """Drop a control host that isn't asked anything any more."""
-        self._told.pop(control_host, None)
-        self._passed_until.pop(control_host, None)
+        """Discard a control host that is no longer polled."""
+        self._versions.pop(control_host, None)
+        self._backoff_until.pop(control_host, None)
 
     async def run(self) -> None:
-        """Fetch until cancelled."""
+        """Fetch updates until cancelled."""
         while True:
-            await self._wait_news()
-            source = self._choose_source()
-            if source is None:
+            await self._wait_newer_version()
+            control_host = self._choose_control_host()
+            if control_host is None:
                 await self._timers.sleep(self._settings.backoff)
             else:
-                await self._fetch_part(source)
+                await self._fetch_part(control_host)
 
-    async def _wait_news(self) -> None:
-        if self._is_behind():
+    async def _wait_newer_version(self) -> None:
+        if self._is_outdated():
             return
-        while not self._is_behind():
-            self._news = trio.Event()
-            await self._news.wait()
+        while not self._is_outdated():
+            self._newer_version = trio.Event()
+            await self._newer_version.wait()
         await self._timers.sleep(self._settings.delay)
 
-    def _is_behind(self) -> bool:
-        held = self._tables.current.version
-        return any(version > held for version in self._told.values())
+    def _is_outdated(self) -> bool:
+        current = self._tables.current.version
+        return any(version > current for version in self._versions.values())
 
-    def _choose_source(self) -> str | None:
-        """Return the first control host by rank that has something newer."""
-        held = self._tables.current.version
+    def _choose_control_host(self) -> str | None:
+        """Return the first control host by rank that has a newer version."""
+        current = self._tables.current.version
         now = self._timers.now()
-        newer = [
+        candidates = [
             name
-            for name, version in self._told.items()
-            if version > held and self._passed_until.get(name, now) <= now
+            for name, version in self._versions.items()
+            if version > current and self._backoff_until.get(name, now) <= now
         ]
-        return min(newer, key=self._rank, default=None)
+        return min(candidates, key=self._rank, default=None)
 
-    async def _fetch_part(self, source: str) -> None:
-        """Take the next part, and the update once it's whole."""
+    async def _fetch_part(self, control_host: str) -> None:
+        """Request the next part, and apply the update once it's complete."""
         request = pb.TableRequest(
             from_version=0 if self._needs_whole else self._tables.current.version,
             digest=self._partial.digest,
             offset=len(self._partial.data),
         )
         try:
-            part = await self._peers.call(source, request, self._settings.timeout)
+            part = await self._peers.call(control_host, request, self._settings.timeout)
         except Failure as failure:
-            logging.info("fetcher: %s gives no routes: %s", source, failure.text)
-            self._pass_over(source)
+            logging.info("fetcher: No table from %s: %s", control_host, failure.text)
+            self._back_off(control_host)
             return
         if not part.data:
-            # It has lost what it told of, or never had it.
-            self._told[source] = part.version
-            self._pass_over(source)
+            # The control host doesn't have the version that it announced.
+            self._versions[control_host] = part.version
+            self._back_off(control_host)
             return
-        self._take_part(part)
+        self._append_part(part)
         if len(self._partial.data) >= part.size:
-            await self._take_update(source)
+            await self._apply_update(control_host)
 
-    def _pass_over(self, source: str) -> None:
-        self._passed_until[source] = self._timers.now() + self._settings.pause
+    def _back_off(self, control_host: str) -> None:
+        self._backoff_until[control_host] = self._timers.now() + self._settings.pause
 
-    def _take_part(self, part: pb.TablePart) -> None:
+    def _append_part(self, part: pb.TablePart) -> None:
         partial = self._partial
         is_next = part.digest == partial.digest and part.offset == len(partial.data)
         if part.offset == 0:
@@ -155,14 +154,14 @@
         else:
             self._partial = _Partial()
 
-    async def _take_update(self, source: str) -> None:
+    async def _apply_update(self, control_host: str) -> None:
         data, self._partial = self._partial.data, _Partial()
         try:
             document = apply_update(self._tables.document, data)
-            await self._tables.take_in_steps(document)
+            await self._tables.install_in_steps(document)
         except Failure as failure:
-            logging.error("fetcher: An update of %s: %s", source, failure.text)
+            logging.error("fetcher: Bad update from %s: %s", control_host, failure.text)
             self._needs_whole = True
-            self._pass_over(source)
+            self._back_off(control_host)
         else:
             self._needs_whole = False
--- a/src/pepperstep/coordination/tables.py
+++ b/src/pepperstep/coordination/tables.py
@@ -1,4 +1,4 @@
-"""Operators' route tables: agreed on by the control hosts, the highest in force."""
+"""The operators' route table: replicated by the log, the highest version in force."""
 
 from collections.abc import Callable, Generator, Iterator
 
@@ -24,20 +24,20 @@
 
 TABLE_MACHINE = "tables"
 
-# Reads an operator's document in steps, between which others may run; raises
-# `InvalidDocument` for one with faults.
+# Decodes an operators' document, yielding between steps so that other tasks can run.
+# Raises `InvalidDocument`.
 Decoder = Callable[[bytes], Generator[None, None, RouteTable]]
 
 
 class TableMachine:
-    """The document with the highest version; one not higher changes nothing."""
+    """State machine that holds the document with the highest version."""
 
     def __init__(self, on_change: Callable[[Document], None]):
         self._on_change = on_change
         self.document = Document()
 
     def apply(self, index: int, command: bytes) -> bytes:
-        """Take an update and return a `TableResult`."""
+        """Apply a `TableCommand` and return a `TableResult`."""
         message = pb.TableCommand.FromString(command)
         result = pb.TableResult()
         if message.version > self.document.version:
@@ -46,20 +46,20 @@
         return result.SerializeToString()
 
     def snapshot(self) -> bytes:
-        """Return the document with its version."""
+        """Return the document and its version as bytes."""
         state = pb.TableState(
             version=self.document.version, document=compress(self.document.data)
         )
         return state.SerializeToString()
 
     def restore(self, data: bytes) -> None:
-        """Take the state that `snapshot` returned."""
+        """Restore the state from the bytes of `snapshot`."""
         state = pb.TableState.FromString(data)
         if state.version > self.document.version:
             self._set(Document(state.version, decompress(state.document)))
 
     def _apply_update(self, message: pb.TableCommand) -> bool:
-        """Return whether the update fits the document held."""
+        """Apply an update and return whether it fits the current document."""
         try:
             document = apply_update(self.document, message.update)
         except Failure as failure:
@@ -76,46 +76,49 @@
 
 
 class TableStore:
-    """The table in force on this host; within a process it never goes back."""
+    """The table in force on this host; its version never decreases in a process."""
 
     def __init__(self, decode: Decoder):
         self._decode = decode
         self._subscribers: list[Callable[[RouteTable], None]] = []
-        self._first = trio.Event()
+        self._has_table = trio.Event()
         self.current = RouteTable(0)
         self.document = Document()
 
     @property
     def is_known(self) -> bool:
-        """Whether any table has reached this host."""
+        """Whether a table has been installed."""
         return self.current.version > 0
 
     async def wait_known(self) -> None:
-        """Return once a table has reached this host."""
-        await self._first.wait()
+        """Return once a table has been installed."""
+        await self._has_table.wait()
 
     def subscribe(self, subscriber: Callable[[RouteTable], None]) -> None:
-        """Call `subscriber` with each table that comes in force."""
+        """Call `subscriber` with each table that comes into force."""
         self._subscribers.append(subscriber)
 
-    def take(self, document: Document) -> None:
-        """Put an agreed document in force, unless it isn't newer."""
-        for _ in self._take(document):
+    def install(self, document: Document) -> None:
+        """Put a replicated document in force if it's newer."""
+        for _ in self._install(document):
             pass
 
-    async def take_in_steps(self, document: Document) -> None:
-        """Do the same, and let requests run while a large document is read."""
-        for _ in self._take(document):
+    async def install_in_steps(self, document: Document) -> None:
+        """Put a replicated document in force if it's newer.
+
+        Other tasks run between the steps of decoding a large document.
+        """
+        for _ in self._install(document):
             await trio.lowlevel.checkpoint()
 
-    def _take(self, document: Document) -> Iterator[None]:
+    def _install(self, document: Document) -> Iterator[None]:
         if document.version > self.current.version:
             table = yield from self._decode(document.data)
             self._put_in_force(document, table)
 
     def _put_in_force(self, document: Document, table: RouteTable) -> None:
         if document.version <= self.current.version:
-            # Overtaken while it was read.
+            # A newer document was installed during the decoding.
             return
         event = TableInForce(
             document.version,
@@ -126,7 +129,7 @@
         logging.info("tables: %s", event)
         self.current = table
         self.document = document
-        self._first.set()
+        self._has_table.set()
         for subscriber in self._subscribers:
             subscriber(table)
 
@@ -138,18 +141,20 @@
     document: Document,
     timeout: float,
 ) -> None:
-    """Return once the document is agreed on, or known as not higher.
+    """Return once the document is committed or known not to be newer.
 
-    `held` is the document that this host has agreed on last; where another one came
-    between, the whole document is proposed. Raise `Failure` with `NO_QUORUM` after
-    `timeout` seconds.
+    `held` is the latest document that this host has committed. If another one was
+    committed since, the whole document is proposed. Raise `Failure` with `NO_QUORUM`
+    after `timeout` seconds.
     """
     deadline = timers.now() + timeout
     update = _update_from(held, document)
     if not await _propose(agreement, document.version, update, timeout):
         return
-    rest = deadline - timers.now()
-    if not await _propose(agreement, document.version, encode_whole(document), rest):
+    remaining = deadline - timers.now()
+    if not await _propose(
+        agreement, document.version, encode_whole(document), remaining
+    ):
         return
     raise Failure(Code.INTERNAL, "The document isn't taken in whole either.")
 
@@ -165,7 +170,7 @@
 async def _propose(
     agreement: Agreement, version: int, update: bytes, timeout: float
 ) -> bool:
-    """Return whether the whole document is needed."""
+    """Propose an update and return whether the whole document is needed."""
     command = pb.TableCommand(version=version, update=update)
     data = await agreement.propose(TABLE_MACHINE, command.SerializeToString(), timeout)
     return pb.TableResult.FromString(data).needs_whole
--- a/src/pepperstep/relay/attempt.py
+++ b/src/pepperstep/relay/attempt.py
@@ -7,7 +7,7 @@
 import trio
 from absl import logging
 
-from pepperstep.coordination import Announcement, UpstreamBook, UpstreamKey
+from pepperstep.coordination import Announcement, UpstreamCatalog, UpstreamKey
 from pepperstep.entities.routes import Route, Service, Workspace
 from pepperstep.ports import Timers
 from pepperstep.ports.exchange import (
@@ -111,7 +111,7 @@
         self,
         wire: RelayWire,
         pools: Pools,
-        book: UpstreamBook,
+        catalog: UpstreamCatalog,
         chooser: Chooser,
         counts: RunCounts,
         signals: AnswerSignals,
@@ -120,7 +120,7 @@
     ):
         self._wire = wire
         self._pools = pools
-        self._book = book
+        self._catalog = catalog
         self._chooser = chooser
         self._counts = counts
         self._signals = signals
@@ -279,7 +279,7 @@
         request.on_attempt_failed(upstream.id, f"refused with {head.status}")
         if facts.other_upstream and facts.other_upstream != upstream.id:
             # Another upstream has taken over the address.
-            self._book.note_gone(upstream.id, upstream.incarnation, _SOURCE_ANSWER)
+            self._catalog.mark_gone(upstream.id, upstream.incarnation, _SOURCE_ANSWER)
         return Outcome.NOT_RUN
 
     async def _store_failure(
--- a/src/pepperstep/relay/choice.py
+++ b/src/pepperstep/relay/choice.py
@@ -11,7 +11,7 @@
 from pepperstep.coordination import (
     Announcement,
     ServiceWork,
-    UpstreamBook,
+    UpstreamCatalog,
     UpstreamKey,
 )
 from pepperstep.entities.routes import Service
@@ -127,7 +127,7 @@
 
     def __init__(
         self,
-        book: UpstreamBook,
+        catalog: UpstreamCatalog,
         pools: Pools,
         zone: str,
         host_count: Callable[[], int],
@@ -138,7 +138,7 @@
         versions: VersionSelector | None = None,
         backoff: Backoff | None = None,
     ):
-        self._book = book
+        self._catalog = catalog
         self._pools = pools
         self._host_count = host_count
         self._prompts = prompts or PrefillTracker(now)
@@ -177,7 +177,7 @@
 
     def shortest_hold(self, service: Service) -> float:
         """Return the seconds until the first upstream's hold ends, 0 if one is free."""
-        usable = self._book.usable(service.name)
+        usable = self._catalog.usable(service.name)
         return self._backoff.shortest_remaining(each.key for each in usable)
 
     def work_at(self, upstream: UpstreamKey) -> UpstreamWork:
@@ -254,7 +254,7 @@
         If all upstreams of the selected version are held, it counts as failed and
         the selection is repeated without it.
         """
-        usable = self._book.usable(service.name)
+        usable = self._catalog.usable(service.name)
         selected = self._versions.select(service.name, usable, facts, tried)
         if selected and self._backoff.shortest_remaining(each.key for each in selected):
             failed = {each.key for each in selected}
--- a/src/pepperstep/relay/permits.py
+++ b/src/pepperstep/relay/permits.py
@@ -16,7 +16,7 @@
 
 import trio
 
-from pepperstep.coordination import StatedLimit, UpstreamBook, UpstreamKey
+from pepperstep.coordination import StatedLimit, UpstreamCatalog, UpstreamKey
 from pepperstep.ports import PeerNetwork, Timers
 from pepperstep.proto import coordination_pb2 as pb
 from pepperstep.relay.backoff import Backoff
@@ -85,7 +85,7 @@
 
     def __init__(
         self,
-        book: UpstreamBook,
+        catalog: UpstreamCatalog,
         backoff: Backoff,
         owners: KeyOwners,
         network: PeerNetwork,
@@ -93,7 +93,7 @@
         timers: Timers,
         rng: random.Random,
     ):
-        self._book = book
+        self._catalog = catalog
         self._backoff = backoff
         self._owners = owners
         self._host_count = host_count
@@ -114,7 +114,7 @@
 
         Return whether the request may be sent.
         """
-        limit = self._book.limit_of(upstream)
+        limit = self._catalog.limit_of(upstream)
         if limit is None:
             return True
         asked = self._owners.owner_of(upstream[0]) or ""
@@ -170,14 +170,14 @@
         if reply is None:
             return None
         known = StatedLimit.from_message(reply.limit, self._now())
-        self._book.note_limit(upstream, known, owner)
+        self._catalog.record_limit(upstream, known, owner)
         return reply.wait
 
     async def _on_claim(self, message: pb.PermitClaim, sender: str) -> pb.PermitReply:
         upstream = (message.upstream, message.incarnation)
         limit = StatedLimit.from_message(message.limit, self._now())
-        self._book.note_limit(upstream, limit, sender)
-        latest = self._book.latest_limit(upstream) or limit
+        self._catalog.record_limit(upstream, limit, sender)
+        latest = self._catalog.latest_limit(upstream) or limit
         wait = 0.0 if latest.rate is None else self._grant(upstream, latest)
         return pb.PermitReply(wait=wait, limit=latest.to_message(self._now()))
 
@@ -186,7 +186,7 @@
     ) -> pb.PermitsGrantedReply:
         upstream = (message.upstream, message.incarnation)
         limit = StatedLimit.from_message(message.limit, self._now())
-        self._book.note_limit(upstream, limit, sender)
+        self._catalog.record_limit(upstream, limit, sender)
         if limit.rate is not None:
             rate = max(limit.rate, _MIN_RATE_PER_SECOND)
             bucket = self._bucket_of(upstream)
@@ -194,7 +194,7 @@
         return pb.PermitsGrantedReply()
 
     def _report(self, nursery: trio.Nursery, upstream: UpstreamKey, count: int) -> None:
-        limit = self._book.limit_of(upstream)
+        limit = self._catalog.limit_of(upstream)
         if limit is None:
             return
         name, incarnation = upstream
--- a/src/pepperstep/relay/recorder.py
+++ b/src/pepperstep/relay/recorder.py
@@ -2,7 +2,7 @@
 
 from absl import logging
 
-from pepperstep.coordination import TableStore, UpstreamBook
+from pepperstep.coordination import TableStore, UpstreamCatalog
 from pepperstep.errors import Execution, Failure
 from pepperstep.observability.decisions import (
     QuotaExceeded,
@@ -35,12 +35,12 @@
         self,
         metrics: RelayMetrics,
         tables: TableStore,
-        book: UpstreamBook,
+        catalog: UpstreamCatalog,
         timers: Timers,
     ):
         self._metrics = metrics
         self._tables = tables
-        self._book = book
+        self._catalog = catalog
         self._timers = timers
 
     def record_chosen(self, request: RelayedRequest, choice: Choice) -> None:
@@ -51,7 +51,7 @@
             service=request.service.name,
             upstream=choice.upstream.id,
             announcement=choice.upstream.sequence,
-            upstreams_version=self._book.version,
+            upstreams_version=self._catalog.version,
             routes_version=self._tables.current.version,
             candidates=choice.candidates,
             missing_tokens=choice.missing,
@@ -164,7 +164,7 @@
         logging.info("relay: %s", event)
 
     def _count_upstreams(self, request: RelayedRequest) -> int:
-        return len(self._book.working(request.service.name))
+        return len(self._catalog.working(request.service.name))
 
     def _age_ms(self, exchange: Exchange) -> int:
         return round(1000 * (self._timers.now() - exchange.arrived_at))
--- a/src/pepperstep/relay/relay.py
+++ b/src/pepperstep/relay/relay.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from functools import partial
 
-from pepperstep.coordination import TableStore, UpstreamBook
+from pepperstep.coordination import TableStore, UpstreamCatalog
 from pepperstep.entities.routes import Route, Workspace
 from pepperstep.errors import Code, Execution, Failure
 from pepperstep.ports import Timers
@@ -46,7 +46,7 @@
         self,
         wire: RelayWire,
         tables: TableStore,
-        book: UpstreamBook,
+        catalog: UpstreamCatalog,
         chooser: Chooser,
         permits: Permits,
         attempts: AttemptRunner,
@@ -60,7 +60,7 @@
     ):
         self._wire = wire
         self._tables = tables
-        self._book = book
+        self._catalog = catalog
         self._chooser = chooser
         self._permits = permits
         self._attempts = attempts
@@ -108,7 +108,7 @@
         """Return an upstream that becomes available soon, or None."""
         with self._timers.move_on_after(_STARTUP_WAIT_SECONDS):
             while True:
-                await self._book.wait_change()
+                await self._catalog.wait_change()
                 choice = await self._choose(request)
                 if choice is not None:
                     return choice
--- a/tests/relaying/test_clock_steps.py
+++ b/tests/relaying/test_clock_steps.py
@@ -13,7 +13,7 @@
     """Return the error of each host's estimated time, in seconds."""
     reference = world.timers["c2:1"].wall()
     hosts = [*world.controls.values(), *world.entries.values()]
-    return [host.sync.true_time - reference for host in hosts]
+    return [host.sync.median_time - reference for host in hosts]
 
 
 @pytest.mark.parametrize("jump", [JUMP_SECONDS, -JUMP_SECONDS])
@@ -40,7 +40,7 @@
         world.timers["e0:1"].step_wall(JUMP_SECONDS)
         await trio.sleep(5.0)
         for host in world.entries.values():
-            assert abs(host.sync.true_time - reference.wall()) < 0.1
+            assert abs(host.sync.median_time - reference.wall()) < 0.1
 
 
 @pytest.mark.parametrize("jump", [JUMP_SECONDS, -JUMP_SECONDS])
--- a/tests/relaying/test_directory.py
+++ b/tests/relaying/test_directory.py
@@ -1,4 +1,4 @@
-"""Where callers connect, as control hosts and entry hosts tell it."""
+"""The directory for callers, served by control hosts and entry hosts."""
 
 import trio
 
@@ -6,7 +6,7 @@
 from pepperstep.coordination.directory import MAX_ADDRESSES, DirectoryEntry
 from tests.relaying.world import open_world
 
-ALL = ["e0:1:callers", "e1:1:callers"]
+ALL_ADDRESSES = ["e0:1:callers", "e1:1:callers"]
 
 
 def directory(*entries: tuple[str, str]) -> Directory:
@@ -15,31 +15,31 @@
 
 
 def test_addresses_of_the_callers_zone_come_first():
-    told = directory(("a", "z1"), ("b", "z2"), ("c", "z1"))
-    assert told.addresses("z2") == ["b", "a", "c"]
-    assert told.addresses("z3") == ["a", "b", "c"]
-    assert told.addresses("z1", without="a") == ["c", "b"]
+    original = directory(("a", "z1"), ("b", "z2"), ("c", "z1"))
+    assert original.addresses("z2") == ["b", "a", "c"]
+    assert original.addresses("z3") == ["a", "b", "c"]
+    assert original.addresses("z1", without="a") == ["c", "b"]
 
 
 def test_directory_crosses_the_wire():
-    told = directory(("a", "z1"), ("b", "z2"))
-    again = Directory.from_message(told.to_message())
-    assert again == told
-    assert again.digest == told.digest != directory(("a", "z1")).digest
+    original = directory(("a", "z1"), ("b", "z2"))
+    decoded = Directory.from_message(original.to_message())
+    assert decoded == original
+    assert decoded.digest == original.digest != directory(("a", "z1")).digest
     assert Directory().digest == 0
 
 
-async def test_entry_hosts_tell_it_while_all_control_hosts_are_down(autojump_clock):
+async def test_entry_hosts_serve_it_without_control_hosts(autojump_clock):
     async with open_world() as world:
         await trio.sleep(2.0)
         for name in list(world.controls):
             world.kill(name)
         await trio.sleep(10.0)
         for host in world.entries.values():
-            assert sorted(host.entry_addresses("z1")) == ALL
+            assert sorted(host.entry_addresses("z1")) == ALL_ADDRESSES
 
 
-async def test_host_that_leaves_is_told_of_nowhere(autojump_clock):
+async def test_leaving_host_is_in_no_directory(autojump_clock):
     async with open_world() as world:
         await trio.sleep(2.0)
         world.entries["e0:1"].leave()
@@ -49,7 +49,7 @@
             assert host.entry_addresses("z1") == ["e1:1:callers"]
 
 
-async def test_lost_entry_host_leaves_the_answers_of_others(autojump_clock):
+async def test_lost_entry_host_is_removed(autojump_clock):
     async with open_world() as world:
         await trio.sleep(2.0)
         world.kill("e0:1")
@@ -57,7 +57,7 @@
         assert world.entries["e1:1"].entry_addresses("z1") == ["e1:1:callers"]
 
 
-async def test_control_hosts_that_start_again_take_no_entry_host_away(autojump_clock):
+async def test_restarted_control_hosts_remove_no_entry_host(autojump_clock):
     async with open_world() as world:
         await trio.sleep(2.0)
         seeds = tuple(sorted(world.controls))
@@ -69,10 +69,10 @@
         for _ in range(40):
             await trio.sleep(0.1)
             for host in world.entries.values():
-                assert sorted(host.entry_addresses("z1")) == ALL
+                assert sorted(host.entry_addresses("z1")) == ALL_ADDRESSES
 
 
-async def test_entry_host_that_starts_soon_has_it(autojump_clock):
+async def test_starting_entry_host_soon_has_directory(autojump_clock):
     async with open_world() as world:
         await trio.sleep(2.0)
         world.kill("e0:1")
@@ -90,23 +90,26 @@
 
 
 def test_a_zone_with_many_entry_hosts_gets_its_own_and_few_others():
-    """With 64 addresses, a third of the callers' traffic went to other zones."""
+    """Guards against traffic between zones.
+
+    With 64 addresses in each directory, a third of the callers' traffic crossed zones.
+    """
     reports = reports_of({"a": 41, "b": 36, "c": 40, "d": 35, "e": 39})
     named = {
         zone: Directory.from_reports(reports, zone).addresses(zone) for zone in "abcde"
     }
     for zone, addresses in named.items():
-        own = [address for address in addresses if address.startswith(zone)]
-        assert len(own) == sum(report.zone == zone for report in reports)
-        assert 1 <= len(addresses) - len(own) <= len(addresses) / 8
-        assert addresses[: len(own)] == own
+        in_zone = [address for address in addresses if address.startswith(zone)]
+        assert len(in_zone) == sum(report.zone == zone for report in reports)
+        assert 1 <= len(addresses) - len(in_zone) <= len(addresses) / 8
+        assert addresses[: len(in_zone)] == in_zone
     others = [
         address
         for zone, addresses in named.items()
         for address in addresses
         if not address.startswith(zone)
     ]
-    # So that no host gets much of the other zones' traffic.
+    # No host receives much of the other zones' traffic.
     assert max(others.count(address) for address in others) <= 2
 
 
@@ -121,14 +124,14 @@
     reports = reports_of({"a": 90, "b": 100})
     keepers = Directory.from_reports(reports, "a").keepers
     assert keepers == Directory.from_reports(reports[::-1], "b").keepers
-    # Each keeper costs each host a connection, with threads of its own.
+    # Each keeper costs each host a connection, with its own threads.
     assert len(keepers) == 16
     rest = [report for report in reports if report.host != keepers[0]]
     assert len(set(Directory.from_reports(rest, "a").keepers) - set(keepers)) == 1
 
 
-async def test_no_more_is_told_than_callers_take(autojump_clock):
+async def test_directory_is_limited_to_what_callers_accept(autojump_clock):
     async with open_world() as world:
         reports = world.controls["c0:1"].entries.ready() * MAX_ADDRESSES
-        told = Directory.from_reports(reports, "z1")
-        assert len(told.entries) == MAX_ADDRESSES
+        original = Directory.from_reports(reports, "z1")
+        assert len(original.entries) == MAX_ADDRESSES
--- a/tests/relaying/test_host_share.py
+++ b/tests/relaying/test_host_share.py
@@ -38,7 +38,7 @@
     """Report the number of hosts twice a second."""
     for _ in range(round(2 * seconds)):
         clock.now += 0.5
-        share.note_told(hosts)
+        share.record_host_count(hosts)
 
 
 def test_host_without_reports_has_no_share(share, clock):
@@ -61,7 +61,7 @@
     report_hosts(share, clock, 4, 8.0)
     assert share.credit > 1.0
     clock.now += 8.0
-    share.note_told(4)
+    share.record_host_count(4)
     assert (share.credit, share.joins) == (0.0, 2)
 
 
@@ -72,7 +72,7 @@
     assert before > 2
     clock.now += 3.0
     assert not budget.try_spend("plain")
-    share.note_told(10)
+    share.record_host_count(10)
     assert budget.try_spend("plain")
     assert budget.state_of("plain").saved <= before
 
@@ -91,7 +91,7 @@
     for _ in range(160):
         clock.now += 0.25
         for number, (share, budget) in enumerate(hosts):
-            share.note_told(count)
+            share.record_host_count(count)
             while rng.random() < 0.9 and budget.try_spend("plain"):
                 retry_times.append(clock.now)
             if rng.random() < 0.05:
--- a/tests/relaying/test_leaving_upstreams.py
+++ b/tests/relaying/test_leaving_upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams that say in their answers that they leave."""
+"""Upstreams that state in their answers that they leave."""
 
 from dataclasses import dataclass, field
 
@@ -10,14 +10,14 @@
 from tests.relaying.upstreams import serving
 from tests.relaying.world import request
 
-# Time after an answer that says so in which a request may still follow, in seconds.
-NOTICE = 2.0
+# Time after the first such answer during which requests may still arrive, in seconds.
+NOTICE_SECONDS = 2.0
 LEAVES_AT = 10.0
 
 
 @dataclass
 class Upstream:
-    """An upstream whose answers say from a time on that it leaves."""
+    """An upstream whose answers state that it leaves, from `leaves_at` on."""
 
     leaves_at: float = float("inf")
     status: int = 200
@@ -33,13 +33,13 @@
             headers.append((b"pepperstep-not-executed", b"1"))
         return Reply(AnswerHead(self.status, tuple(headers)), (b"data: 1\n\n",))
 
-    def since(self, begin: float) -> int:
-        """Return the requests that arrived since a time."""
+    def count_since(self, begin: float) -> int:
+        """Return the number of requests since a time."""
         return sum(each >= begin for each in self.arrivals)
 
 
 async def ask_all(world, seconds: float, path: str = "/safe/1") -> list[int]:
-    """Send requests to all entry hosts in turn, and return what callers got."""
+    """Send requests to all entry hosts in turn and return the answers' statuses."""
     statuses = []
     end = trio.current_time() + seconds
     while trio.current_time() < end:
@@ -58,24 +58,24 @@
     async with serving([leaving, Upstream()]) as world:
         await trio.sleep_until(LEAVES_AT)
         statuses = await ask_all(world, 10.0, path)
-        assert leaving.since(LEAVES_AT) > 0
-        assert leaving.since(LEAVES_AT + NOTICE) == 0
+        assert leaving.count_since(LEAVES_AT) > 0
+        assert leaving.count_since(LEAVES_AT + NOTICE_SECONDS) == 0
         assert set(statuses) == {200}
 
 
-async def test_one_hosts_answer_tells_all_hosts(autojump_clock):
+async def test_leaving_in_one_answer_reaches_all_hosts(autojump_clock):
     leaving = Upstream(LEAVES_AT)
     async with serving([leaving, Upstream()]) as world:
         await trio.sleep_until(LEAVES_AT)
-        while not leaving.since(LEAVES_AT):
+        while not leaving.count_since(LEAVES_AT):
             await world.ask("e0:1", request("/safe/1"))
         await trio.sleep(0.3)
-        told = leaving.since(LEAVES_AT)
+        count_before = leaving.count_since(LEAVES_AT)
         await ask_all(world, 3.0)
-        assert leaving.since(LEAVES_AT) == told
+        assert leaving.count_since(LEAVES_AT) == count_before
 
 
-async def test_host_that_reaches_no_control_host_takes_an_answer_at_its_word(
+async def test_isolated_host_applies_leaving_in_an_answer(
     autojump_clock,
 ):
     leaving = Upstream(LEAVES_AT)
@@ -83,14 +83,14 @@
         world.cut_off("e0:1")
         await trio.sleep_until(LEAVES_AT)
         statuses = await ask_all(world, 10.0)
-        assert leaving.since(LEAVES_AT) == 1
+        assert leaving.count_since(LEAVES_AT) == 1
         assert set(statuses) == {200}
 
 
-async def test_announcement_on_the_other_side_of_a_cut_takes_nothing_back(
+async def test_announcement_across_a_cut_resets_nothing(
     autojump_clock,
 ):
-    """The control hosts that miss its word hear on of the upstream as working."""
+    """Control hosts on the other side still receive the upstream's heartbeats."""
     leaving = Upstream(LEAVES_AT)
     async with serving([leaving, Upstream()], controls=5) as world:
         for name in ("c0:1", "c1:1"):
@@ -100,7 +100,7 @@
         for sequence in range(2, 6):
             await world.announce("c3:1", "plain0", "plain", sequence=sequence)
             await ask_all(world, 1.0)
-        assert leaving.since(LEAVES_AT + NOTICE) == 0
+        assert leaving.count_since(LEAVES_AT + NOTICE_SECONDS) == 0
 
 
 async def test_last_upstream_that_leaves_gets_nothing_more(autojump_clock):
@@ -108,7 +108,7 @@
     async with serving([leaving]) as world:
         await trio.sleep_until(LEAVES_AT)
         statuses = await ask_all(world, 5.0)
-        assert leaving.since(LEAVES_AT + NOTICE) == 0
+        assert leaving.count_since(LEAVES_AT + NOTICE_SECONDS) == 0
         assert set(statuses) == {200, 503}
 
 
@@ -117,7 +117,7 @@
     async with serving([leaving, Upstream()]) as world:
         await trio.sleep_until(LEAVES_AT)
         await ask_all(world, 5.0)
-        assert leaving.since(LEAVES_AT + NOTICE) == 0
+        assert leaving.count_since(LEAVES_AT + NOTICE_SECONDS) == 0
 
 
 async def test_next_start_of_an_upstream_that_left_is_used(autojump_clock):
@@ -129,10 +129,10 @@
         await world.announce("c1:1", "plain0", "plain", incarnation=9)
         begin = trio.current_time() + 1.0
         await ask_all(world, 3.0)
-        assert leaving.since(begin) > 0
+        assert leaving.count_since(begin) > 0
 
 
-async def test_answer_of_another_upstream_at_the_address_says_nothing_of_this(
+async def test_answer_of_other_upstream_at_address_is_ignored(
     autojump_clock,
 ):
     head = AnswerHead(
@@ -147,4 +147,4 @@
     async with serving([Upstream()], entries=1) as world:
         world.connector.scripts["plain0:80"] = lambda sent: Reply(head)
         await world.ask("e0:1", request("/safe/1"))
-        assert not world.entries["e0:1"].book.get("plain0").is_leaving
+        assert not world.entries["e0:1"].catalog.get("plain0").is_leaving
--- a/tests/relaying/test_partial_views.py
+++ b/tests/relaying/test_partial_views.py
@@ -1,7 +1,7 @@
-"""What a control host tells that hears of a part of the entry hosts only.
+"""A control host that hears only some entry hosts must not shrink the others' view.
 
-The cause is that of `test_silent_upstreams`: what one host doesn't hear isn't there
-for it, and entry hosts took the latest answer of any control host for the whole.
+Entry hosts used the latest reply of any control host. So the reply of one that was cut
+off from most entry hosts reduced the number that share quotas, and the directory.
 """
 
 import pytest
@@ -13,28 +13,27 @@
 from pepperstep.ports.exchange import AnswerHead
 from tests.relaying.world import KEY, document, open_world, request
 
-# Longer than control hosts count a silent entry host.
+# Longer than control hosts count an entry host without reports.
 LONG_SECONDS = 17.0
 
 
 @pytest.mark.parametrize("partial", ["c0:1", "c1:1", "c2:1"])
-async def test_entry_hosts_share_quotas_by_all_that_any_control_host_hears(
-    autojump_clock, partial
-):
+async def test_entry_count_is_highest_of_any_control_host(autojump_clock, partial):
     async with open_world(entries=4) as world:
         world.cut_off(partial, [*world.controls, "e1:1", "e2:1", "e3:1"])
         await trio.sleep(LONG_SECONDS)
         for _ in range(40):
             await trio.sleep(0.1)
             assert world.entries["e0:1"].sync.entry_count == 4
-        # One that has ended is counted no longer, once nobody hears of it.
+        # An entry host that has ended is no longer counted once no control host hears
+        # it.
         world.kill("e3:1")
         await trio.sleep(LONG_SECONDS)
         assert world.entries["e0:1"].sync.entry_count == 3
 
 
 @pytest.mark.parametrize("partial", ["c0:1", "c1:1", "c2:1"])
-async def test_callers_are_told_of_all_entry_hosts(autojump_clock, partial):
+async def test_directory_holds_all_entry_hosts(autojump_clock, partial):
     async with open_world(entries=4) as world:
         world.cut_off(partial, [*world.controls, "e1:1", "e2:1", "e3:1"])
         await trio.sleep(3.0)
@@ -43,7 +42,7 @@
             assert len(world.entries["e0:1"].entry_addresses("z1")) == 4
 
 
-async def test_quotas_are_divided_by_all_hosts_beside_a_control_host_cut_off(
+async def test_quotas_are_divided_by_all_hosts_despite_a_cut(
     autojump_clock, monkeypatch
 ):
     events = []
