--- a/src/pepperstep/entities/__init__.py
+++ b/src/pepperstep/entities/__init__.py
@@ -1,4 +1,4 @@
-"""Data classes that more than one job works with."""
+"""Data classes shared by several packages."""
 
 from pepperstep.entities.host import Host
 from pepperstep.entities.request import (
--- a/src/pepperstep/entities/host.py
+++ b/src/pepperstep/entities/host.py
@@ -1,4 +1,4 @@
-"""A host that runs the daemon."""
+"""A host that runs the pepperstep daemon."""
 
 from dataclasses import dataclass
 
@@ -7,12 +7,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Host:
-    """An entry or control host, as its own settings describe it."""
+    """An entry or control host, as described by its settings."""
 
     name: str
-    # host:port where peers reach it.
+    # host:port for calls from peers.
     peer_address: str
-    # Base URL where callers and upstreams reach it, "" for a pure control host.
+    # Base URL for callers and upstreams, "" on a host without the entry role.
     caller_url: str
     zone: str
     region: str
--- a/src/pepperstep/entities/request.py
+++ b/src/pepperstep/entities/request.py
@@ -1,4 +1,4 @@
-"""A request that a caller made, and how it ended."""
+"""Requests of callers and their outcomes."""
 
 import enum
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 
 class Priority(enum.IntEnum):
-    """Class of a request; the lower number goes first."""
+    """Priority class of a request; lower numbers are served first."""
 
     INTERACTIVE = 0
     STANDARD = 1
@@ -18,7 +18,7 @@
 
 
 class RequestKind(enum.StrEnum):
-    """What kind of upstream answers a request."""
+    """API through which a request is answered."""
 
     CHAT = "chat"
     COMPLETION = "completion"
@@ -27,19 +27,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """An accepted request with all that a second host needs to finish it."""
+    """An accepted request, complete enough for a second host to finish it."""
 
     id: str
     workspace: str
     kind: RequestKind
-    # Deployment or service that the caller named.
+    # Deployment or service that the caller requested.
     target: str
     priority: Priority
     # Unix time in seconds.
     deadline: float
     is_repeatable: bool = True
     idempotency_key: str = ""
-    # Hash of what the caller sent; equal content has an equal fingerprint.
+    # Hash of the request's content, equal for equal content.
     fingerprint: str = ""
     # For engines.
     model_key: ModelKey = ModelKey("")
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceAnswer:
-    """Whole answer of a plain service."""
+    """Complete answer of a plain service."""
 
     status: int
     content_type: str
@@ -72,10 +72,10 @@
     code: Code | None = None
     text: str = ""
     execution: Execution = Execution.NOT_RUN
-    # Seconds until coming back makes sense, None if it never does.
+    # Seconds after which a retry makes sense, None if it never does.
     retry_after: float | None = None
 
     @property
     def is_answered(self) -> bool:
-        """Whether the caller gets a whole answer."""
+        """Whether the request has a complete answer."""
         return self.code is None
--- a/src/pepperstep/entities/routes.py
+++ b/src/pepperstep/entities/routes.py
@@ -1,7 +1,7 @@
-"""The operators' routes: which service answers a request, and under what limits.
+"""Operators' routes: which service answers a request, and under which limits.
 
-A `RouteTable` is one complete version of them. It holds no behaviour beyond
-lookups, so that every host comes to the same answer from the same version.
+A `RouteTable` is one complete version of the routes. Beyond lookups it has no
+behaviour, so all hosts with the same version resolve a request in the same way.
 """
 
 import enum
@@ -22,17 +22,17 @@
 
 
 class Repetition(enum.StrEnum):
-    """What may be repeated of a route's requests."""
+    """Whether a route's requests may be run more than once."""
 
-    # Idempotent: may run several times.
+    # Idempotent requests, which may run several times.
     REPEATABLE = "repeatable"
-    # Runs at most once.
+    # Requests that run at most once.
     ONCE = "once"
 
 
 @dataclass(frozen=True, slots=True)
 class Share:
-    """A service with its weight in a route's traffic."""
+    """A service and its weight in the distribution of a route's traffic."""
 
     service: str
     weight: float
@@ -40,29 +40,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where requests of one host and path prefix go; times are in seconds."""
+    """Route for requests with one Host and path prefix; times are in seconds."""
 
     name: str
     host: str
     path_prefix: str
     shares: tuple[Share, ...]
     repetition: Repetition
-    # Longest time until the final answer.
+    # Maximum time until the complete answer.
     timeout: float
-    # Time until the answer, or its first event, that callers aim at.
+    # Target for the time until the answer or the first event of a stream.
     target_latency: float = 0.0
-    # Longest pause between two events of a stream, 0 for no streams.
+    # Target for the longest pause between two events of a stream, 0 without streams.
     target_pause: float = 0.0
     # 0 is the most urgent.
     priority: int = 0
-    # Upstreams that one request may be sent to.
+    # Maximum number of upstreams that one request is sent to.
     max_attempts: int = 1
     is_stream: bool = False
-    # Whether another upstream may go on after the last event that was sent.
+    # Whether another upstream may resume a stream after the last event sent.
     is_resumable: bool = False
-    # Whether callers need no key.
+    # Whether callers need no API key.
     is_public: bool = False
-    # Whether requests name parts of prompts that upstreams keep in memory.
+    # Whether requests state the prompt parts that upstreams can cache.
     has_prompts: bool = False
 
     @property
@@ -75,35 +75,35 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineFacts:
-    """What the operators say of a service's model engines."""
+    """Capacity of a service's model engines, as configured by the operators."""
 
-    # Requests that one engine runs at the same time.
+    # Requests that one engine runs concurrently.
     slots: int
-    # Tokens of prompts and answers that it keeps in memory.
+    # Prompt and answer tokens that one engine keeps in memory.
     memory_tokens: int
 
 
 @dataclass(frozen=True, slots=True)
 class ScalingBounds:
-    """Bounds and prices of a service's upstreams in each availability zone."""
+    """Count limits and prices of a service's upstreams per availability zone."""
 
     min_count: int
     max_count: int
-    # Seconds from the order until a new upstream serves.
+    # Seconds from the order of a new upstream until it serves requests.
     boot_seconds: float
-    # Price of reclaimable upstreams as a share of the others' price.
+    # Price of reclaimable upstreams as a fraction of the price of steady ones.
     reclaimable_price: float
-    # Price a second by availability zone.
+    # Price per second by availability zone.
     zone_prices: dict[str, float] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A group of upstreams that answer the same requests."""
+    """A group of interchangeable upstreams."""
 
     name: str
     health_path: str = ""
-    # Connections that one upstream takes from all hosts together, 0 for any.
+    # Connections that one upstream accepts from all hosts together, 0 for no limit.
     max_connections: int = 0
     engine: EngineFacts | None = None
     scaling: ScalingBounds | None = None
@@ -111,30 +111,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Quota:
-    """What a workspace may send over all hosts: `rate` a second, and `burst`."""
+    """Token bucket of a workspace over all hosts: `rate` per second, and `burst`."""
 
     rate: float
     burst: float
-    # Whether both count tokens instead of requests.
+    # Whether `rate` and `burst` count prompt and answer tokens instead of requests.
     counts_tokens: bool = False
-    # Tokens of a request that doesn't state them.
+    # Tokens charged for a request that doesn't state its tokens.
     plain_tokens: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Workspace:
-    """A group of callers with keys of its own."""
+    """A group of callers that share API keys and a quota."""
 
     name: str
     keys: tuple[str, ...]
-    # Goes before the route's priority, None for none.
+    # Overrides the route's priority unless None.
     priority: int | None = None
     quota: Quota | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """Bounds on what a caller sends, and how long it may take; in bytes, seconds."""
+    """Limits on the size of a request in bytes and on its timing in seconds."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -143,7 +143,7 @@
 
 
 class RouteTable:
-    """One complete version of the routes, with its lookups."""
+    """One complete version of the routes, indexed for lookups."""
 
     def __init__(
         self,
@@ -159,30 +159,30 @@
         self.workspaces = workspaces
         self.limits = limits or CallerLimits()
         self._by_key = {key: each for each in workspaces for key in each.keys}
-        self._by_place: dict[tuple[str, str], Route] = {
+        self._by_host_and_prefix: dict[tuple[str, str], Route] = {
             (route.host, route.path_prefix): route for route in routes
         }
 
     @property
     def needs_keys(self) -> bool:
-        """Whether callers show keys, but for public routes."""
+        """Whether callers need a key on routes that aren't public."""
         return bool(self.workspaces)
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of `path`, None for none.
+        """Return the route with the longest matching prefix, None without a match.
 
-        Prefixes end with a slash, so only the path's own slashes are tried.
+        Prefixes end with a slash, so only prefixes of `path` up to a slash are tried.
         """
         end = len(path)
         while end > 0:
             end = path.rfind("/", 0, end)
             if end < 0:
                 return None
-            route = self._by_place.get((host, path[: end + 1]))
+            route = self._by_host_and_prefix.get((host, path[: end + 1]))
             if route is not None:
                 return route
         return None
 
     def find_workspace(self, key: str) -> Workspace | None:
-        """Return the workspace that holds `key`, None for none."""
+        """Return the workspace with the API key `key`, None for an unknown key."""
         return self._by_key.get(key)
--- a/src/pepperstep/entities/upstream.py
+++ b/src/pepperstep/entities/upstream.py
@@ -1,4 +1,4 @@
-"""An upstream: one start of a model engine or of a plain service."""
+"""Upstreams: running instances of model engines and plain services."""
 
 import enum
 from dataclasses import dataclass, field
@@ -7,14 +7,14 @@
 
 
 class UpstreamKind(enum.StrEnum):
-    """What an upstream runs."""
+    """Kind of server that an upstream runs."""
 
     ENGINE = "engine"
     SERVICE = "service"
 
 
 class Role(enum.StrEnum):
-    """Part of the work that a model engine takes."""
+    """Phases of inference that a model engine performs."""
 
     MIXED = "mixed"
     PREFILL = "prefill"
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelKey:
-    """What must be loaded for a request: model, adapter and version."""
+    """Model, adapter and version that a request needs loaded."""
 
     model: str
     adapter: str = ""
@@ -32,33 +32,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """Load that an upstream reported, late by its own reporting period."""
+    """Load reported by an upstream, up to one reporting period old."""
 
     running: int = 0
     waiting: int = 0
-    # Seconds it takes to prefill one token, and to decode one step.
+    # Seconds to prefill one token, and to decode one step.
     prefill_seconds: float = 0.0002
     decode_seconds: float = 0.02
 
 
 @dataclass(frozen=True, slots=True)
 class Upstream:
-    """An upstream as it announced itself, with its lease's epoch."""
+    """An upstream as announced, with the epoch of its lease."""
 
     name: str
-    # Grows with each start; a message of an earlier epoch is ignored.
+    # Increases with each start; messages of earlier epochs are ignored.
     epoch: int
-    # host:port of its HTTP interface.
+    # host:port of the HTTP interface.
     address: str
     kind: UpstreamKind
-    # Cloud host it runs on.
+    # Cloud host that runs the upstream.
     host: str
     zone: str
     region: str = ""
     # Name of the plain service, "" for an engine.
     service: str = ""
     models: frozenset[ModelKey] = frozenset()
-    # Requests that it runs at the same time.
+    # Requests that the upstream runs concurrently.
     slots: int = 16
     role: Role = Role.MIXED
     load: Load = field(default=Load())
--- a/src/pepperstep/ports/__init__.py
+++ b/src/pepperstep/ports/__init__.py
@@ -1,7 +1,7 @@
-"""What the jobs need from outside, as protocols that adapters implement.
+"""Protocols for clocks, storage, networks and other external services.
 
-Only what all programs share is loaded with the package: hosts that start load little
-besides.
+`pepperstep.adapters` implements them. The package imports only the protocols that all
+programs use, to keep the start of a host short.
 """
 
 from pepperstep.ports.agreement import Agreement, Machine
--- a/src/pepperstep/ports/agreement.py
+++ b/src/pepperstep/ports/agreement.py
@@ -1,7 +1,7 @@
-"""Commands that the control hosts agree on, in one order for all.
+"""Replicated log of the control hosts and the state machines that it drives.
 
-A job registers a `Machine` on each control host under a name of its own, and
-proposes commands from any host.
+A component registers a `Machine` under a unique name on each control host and
+proposes commands from any host. All control hosts apply them in the same order.
 """
 
 from typing import Protocol
@@ -10,20 +10,20 @@
 
 
 class Machine(Protocol):
-    """State that follows from the agreed commands alone.
+    """Deterministic, replicated state machine.
 
-    It must not use clocks, random numbers or anything else outside its
-    commands; a command may come twice and must then have no second effect.
+    It must not use clocks, random numbers or any other input than its commands.
+    A command may be applied twice, so commands must be idempotent.
     """
 
     def apply(self, index: int, command: bytes) -> bytes:
-        """Carry out the command at log position `index`, return its result."""
+        """Apply the command at log position `index` and return its result."""
 
     def snapshot(self) -> bytes:
-        """Return the whole state."""
+        """Return the whole state in serialized form."""
 
     def restore(self, data: bytes) -> None:
-        """Take the state that `snapshot` returned."""
+        """Replace the state by one that `snapshot` returned."""
 
 
 class Agreement(Protocol):
@@ -31,30 +31,31 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether this host leads and its lease holds now."""
+        """Whether this host is the leader and holds a valid lease."""
 
     @property
     def lease_remaining(self) -> float:
-        """Seconds for which this host surely leads from now on, 0 if it doesn't."""
+        """Seconds until this host's leader lease expires, 0 without a lease."""
 
     @property
     def term(self) -> int:
-        """Latest term that this host knows."""
+        """Highest term that this host has seen."""
 
     def register(self, name: str, machine: Machine) -> None:
-        """Add a machine, before the log runs; ignored on other than control hosts."""
+        """Register a machine before the log runs; ignored except on control hosts."""
 
     async def propose(self, name: str, command: bytes, timeout: float) -> bytes:
         """Return the machine's result once the command is committed and applied.
 
         Works on any host. Raise `Failure` with `NO_QUORUM` after `timeout`
-        seconds; the command may then still be committed later. It may be
-        committed twice, so the machine must know a repeat.
+        seconds; the command may still be committed later. A command may be
+        committed twice, so the machine must detect duplicates.
         """
 
     async def barrier(self, timeout: float) -> int:
-        """Return a log position that covers all commits up to this call.
+        """Return a log position at or after every commit before this call.
 
-        On a control host its own machines have applied that much at return.
+        On a control host, the local machines have applied the log up to this
+        position when the call returns.
         Raise `Failure` with `NO_QUORUM` after `timeout` seconds.
         """
--- a/src/pepperstep/ports/cloud.py
+++ b/src/pepperstep/ports/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud API: hosts to rent, and notices of their reclaim."""
+"""Cloud API: hosts for rent, and notices that the cloud reclaims them."""
 
 import enum
 from dataclasses import dataclass
@@ -16,14 +16,14 @@
 
 
 class PriceClass(enum.StrEnum):
-    """How a host is paid for."""
+    """Pricing model of a host."""
 
     RECLAIMABLE = "reclaimable"
     ON_DEMAND = "on_demand"
 
 
 class HostState(enum.StrEnum):
-    """Life of a rented host."""
+    """Lifecycle state of a rented host."""
 
     STARTING = "starting"
     RUNNING = "running"
@@ -32,7 +32,7 @@
 
 
 class StartRefused(Exception):
-    """The cloud has no such host now; `retry_after` is in seconds."""
+    """The cloud has no capacity for the host; `retry_after` is in seconds."""
 
     def __init__(self, text: str, retry_after: float):
         super().__init__(text)
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Offer:
-    """Price of a machine class in an availability zone, in money an hour."""
+    """Price of a machine class in an availability zone, per hour."""
 
     zone: str
     machine: str
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CloudHost:
-    """A rented host; `token` is the one its start was asked with."""
+    """A rented host; `token` is the idempotency token of its start."""
 
     id: str
     token: str
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReclaimNotice:
-    """The cloud takes `host_id` back at Unix time `at`."""
+    """The cloud reclaims the host `host_id` at Unix time `at`."""
 
     id: int
     host_id: str
@@ -73,10 +73,10 @@
 
 
 class Cloud(Protocol):
-    """Client of the cloud API; raises OSError where it can't be reached."""
+    """Client of the cloud API; raises OSError if the API is unreachable."""
 
     async def list_offers(self) -> list[Offer]:
-        """Return what can be asked for; an offer may still be refused."""
+        """Return the current offers; a start from an offer may still be refused."""
 
     async def list_hosts(self) -> list[CloudHost]:
         """Return all hosts that are not stopped."""
@@ -84,11 +84,11 @@
     async def start_host(self, token: str, offer: Offer, deployment: str) -> CloudHost:
         """Start a host; a repeat with the same token returns the same host.
 
-        Raise `StartRefused` if there is none.
+        Raise `StartRefused` if the cloud has no capacity.
         """
 
     async def stop_host(self, host_id: str) -> None:
-        """Stop a host; no error if it has stopped."""
+        """Stop a host; no error if it is already stopped."""
 
     async def list_notices(self, after: int) -> list[ReclaimNotice]:
-        """Return the reclaim notices with an id above `after`, in order."""
+        """Return the reclaim notices with an id above `after`, sorted by id."""
--- a/src/pepperstep/ports/directory.py
+++ b/src/pepperstep/ports/directory.py
@@ -1,4 +1,4 @@
-"""What a host knows of the other hosts."""
+"""Directory of the hosts in the cluster."""
 
 from typing import Protocol
 
@@ -8,10 +8,10 @@
 
 
 class Directory(Protocol):
-    """This host's view of all hosts, which may be late or wrong."""
+    """This host's view of all hosts, which may be stale or wrong."""
 
     def entry_hosts(self) -> list[Host]:
-        """Return the entry hosts that take new work, this one included."""
+        """Return the entry hosts that accept new requests, including this host."""
 
     def is_gone(self, host: str, incarnation: int) -> bool:
-        """Whether this life of the host's process has ended, as far as known."""
+        """Whether this incarnation of the host's process is known to have ended."""
--- a/src/pepperstep/ports/exchange.py
+++ b/src/pepperstep/ports/exchange.py
@@ -1,4 +1,4 @@
-"""HTTP messages as they cross the edges of a host, whole and unchanged."""
+"""HTTP messages between callers, a host and upstreams, passed on unmodified."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable
 from dataclasses import dataclass, field
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestHead:
-    """A request without its body; `target` is the path with its query."""
+    """Request line and headers; `target` is the path with the query string."""
 
     method: bytes
     target: bytes
@@ -30,24 +30,24 @@
 
     def first(self, name: bytes) -> bytes:
         """Return the first value of a header, b"" if there is none."""
-        return _first(self.headers, name)
+        return _first_value(self.headers, name)
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerHead:
-    """An answer without its body."""
+    """Status and headers of an answer."""
 
     status: int
     headers: tuple[Header, ...]
 
     def first(self, name: bytes) -> bytes:
         """Return the first value of a header, b"" if there is none."""
-        return _first(self.headers, name)
+        return _first_value(self.headers, name)
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A whole answer."""
+    """A complete answer."""
 
     status: int
     body: bytes = b""
@@ -55,13 +55,13 @@
 
 
 class CallerGone(Exception):
-    """The caller's connection has ended."""
+    """The caller has closed its connection."""
 
 
 class ConnectionFault(Exception):
     """A connection to an upstream failed.
 
-    `was_sent` tells whether any byte of the request may have arrived.
+    `was_sent` is true if any byte of the request may have reached the upstream.
     """
 
     def __init__(self, text: str, was_sent: bool):
@@ -71,32 +71,32 @@
 
 
 class Exchange(Protocol):
-    """One request of a caller, which gets one answer.
+    """One request of a caller and its answer.
 
-    Each sending method raises `CallerGone` once the connection has ended.
+    Each sending method raises `CallerGone` once the connection is closed.
     """
 
     head: RequestHead
     body: bytes
-    # Monotonic time at which the request's first byte was seen.
+    # Monotonic time at which the request's first byte arrived.
     arrived_at: float
-    # Whether any byte of the answer was sent.
+    # Whether any byte of the answer has been sent.
     has_begun: bool
 
     async def answer(self, answer: Answer) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
 
     async def begin(self, head: AnswerHead, data: bytes) -> None:
-        """Send an answer's head with the first piece of its body."""
+        """Send the head of a streamed answer with the first chunk of its body."""
 
     async def send(self, data: bytes) -> None:
-        """Send a further piece."""
+        """Send the next chunk of the body."""
 
     async def finish(self) -> None:
-        """End the answer as complete."""
+        """Complete a streamed answer."""
 
     def abort(self) -> None:
-        """Break the connection off, so that the answer can't look complete."""
+        """Abort the connection, so that a partial answer can't look complete."""
 
     async def wait_gone(self) -> None:
         """Return once the caller has closed the connection."""
@@ -105,7 +105,7 @@
 class UpstreamConnection(Protocol):
     """A connection that carries one request at a time."""
 
-    # Monotonic time at which the latest answer was complete.
+    # Monotonic time at which the latest answer was completely read.
     idle_since: float
 
     async def send(self, head: RequestHead, body: bytes) -> AnswerHead:
@@ -115,21 +115,21 @@
         """
 
     def pieces(self) -> AsyncIterator[bytes]:
-        """Yield the answer's body; raise `ConnectionFault` if it broke off."""
+        """Yield the body in chunks; raise `ConnectionFault` if it is truncated."""
 
     async def skip_answer(self) -> AnswerHead:
-        """Read over the present answer and return the head of the next.
+        """Discard the current answer and return the head of the next one.
 
         Raise `ConnectionFault`.
         """
 
     def is_reusable(self) -> bool:
-        """Whether another request may be sent: all is read and nothing more came."""
+        """Whether the answer is fully read and no unexpected bytes followed it."""
 
     def close(self) -> None:
-        """Close the connection, which ends what the upstream does for it.
+        """Close the connection, which cancels the request at the upstream.
 
-        A task that sends or reads at the same time gets a `ConnectionFault`.
+        A task that is sending or reading then gets a `ConnectionFault`.
         """
 
 
@@ -139,7 +139,7 @@
     async def connect(self, address: str, timeout: float) -> UpstreamConnection:
         """Return a new connection to host:port.
 
-        Raise `ConnectionFault` after `timeout` seconds, or if it's refused.
+        Raise `ConnectionFault` after `timeout` seconds or on a refused connection.
         """
 
 
@@ -147,7 +147,7 @@
 ExchangeHandler = Callable[[Exchange], Awaitable[None]]
 
 
-def _first(headers: tuple[Header, ...], name: bytes) -> bytes:
+def _first_value(headers: tuple[Header, ...], name: bytes) -> bytes:
     for key, value in headers:
         if key == name:
             return value
--- a/src/pepperstep/ports/orders.py
+++ b/src/pepperstep/ports/orders.py
@@ -1,4 +1,4 @@
-"""Orders for upstreams in availability zones."""
+"""Orders that set the number of upstreams in each availability zone."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -8,23 +8,23 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamOrder:
-    """How many upstreams of one kind a service shall have in a zone."""
+    """Desired number of a service's upstreams in a zone, for one price class."""
 
     service: str
     zone: str
-    # Whether the cloud may take them back, for a lower price.
+    # Whether the cloud may reclaim the upstreams, in return for a lower price.
     is_reclaimable: bool
     count: int
 
 
 class UpstreamOrders(Protocol):
-    """Takes orders; the newest one for a service, zone and kind holds."""
+    """Client for orders; the newest per service, zone and price class applies."""
 
     async def order(self, order: UpstreamOrder, holder: str, fence: int) -> None:
-        """Return once the order is taken.
+        """Return once the order is accepted.
 
-        Raise `Failure` with `FENCED` if another host has a higher token, with
-        `OVERLOADED` if there are no such upstreams to be had now, and with
-        `PEER_UNREACHABLE` if there was no clear answer; the order may then be
-        carried out later.
+        Raise `Failure` with `FENCED` if another host has a higher fencing token,
+        with `OVERLOADED` if the cloud has no capacity, and with
+        `PEER_UNREACHABLE` if the result is unknown; the order may then still be
+        carried out.
         """
--- a/src/pepperstep/ports/relaying.py
+++ b/src/pepperstep/ports/relaying.py
@@ -1,4 +1,4 @@
-"""What callers and upstreams say of a request in their headers."""
+"""Headers by which callers, hosts and upstreams describe a request."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """A piece of a prompt that several requests may begin with."""
+    """A section of a prompt that several requests may share as a prefix."""
 
     id: str
     tokens: int
@@ -19,63 +19,63 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestFacts:
-    """What a caller says of its request."""
+    """Headers of a caller's request, decoded."""
 
-    # Names one try of the caller.
+    # Identifies one attempt of the caller.
     attempt_id: bytes
-    # Seconds for which the caller waits, None if it doesn't say.
+    # Seconds for which the caller waits, None if not stated.
     wait: float | None = None
-    # Key of a workspace, "" for none.
+    # API key of a workspace, "" for none.
     key: str = ""
     prompt_tokens: int = 0
-    # Most tokens that the answer may have.
+    # Maximum number of tokens in the answer.
     answer_tokens: int = 0
-    # Whether the caller has stated both.
+    # Whether the caller stated both `prompt_tokens` and `answer_tokens`.
     has_tokens: bool = False
-    # Tokens that the caller expects of the answer, 0 if it doesn't say.
+    # Number of answer tokens that the caller expects, 0 if not stated.
     expected_tokens: int = 0
-    # From the prompt's beginning on; the last is the request's own.
+    # In the order of the prompt; the last part is unique to the request.
     prompt_parts: tuple[PromptPart, ...] = ()
-    # Event after which a stream goes on, b"" for its beginning.
+    # Event after which a stream resumes, b"" to start at its beginning.
     last_event_id: bytes = b""
 
 
 @dataclass(frozen=True, slots=True)
 class Forwarding:
-    """What this system says of a request to an upstream."""
+    """Headers that a host adds to a request before sending it to an upstream."""
 
-    # Start of the upstream that the request is meant for.
+    # Instance of the upstream that the request is meant for.
     upstream: str
-    # Seconds for which the answer is of use.
+    # Seconds for which the caller waits for the answer.
     wait: float
     # Workspace of the caller, "" on public routes.
     workspace: str = ""
-    # Event after which a stream goes on, b"" for what the caller said.
+    # Event after which a stream resumes, b"" to keep the caller's value.
     last_event_id: bytes = b""
-    # 0 is the most urgent, None for the upstream's own choice.
+    # 0 is the most urgent, None lets the upstream choose.
     priority: int | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerFacts:
-    """What an upstream says of its answer."""
+    """Headers of an upstream's answer, decoded."""
 
-    # Echo of the request's, b"" if there is none.
+    # The request's attempt id, echoed by the upstream, b"" if missing.
     attempt_id: bytes
     # Whether the upstream states that it hasn't run the request.
     was_refused: bool
-    # Start of the upstream that has the address now, if another was meant.
+    # Instance of the upstream at this address, if the request named another one.
     other_upstream: str = ""
-    # Seconds for which an idle connection is kept, 0 if it doesn't say.
+    # Keep-alive timeout of idle connections in seconds, 0 if not stated.
     keep_seconds: float = 0.0
-    # Whether the connection ends with this answer.
+    # Whether the upstream closes the connection after this answer.
     closes: bool = False
-    # Seconds until a refused request may come back, 0 if it doesn't say.
+    # Seconds until a refused request may be retried, 0 if not stated.
     retry_after: float = 0.0
-    # Requests a second that the upstream takes from all hosts together, None for any
-    # number.
+    # Requests per second that the upstream accepts from all hosts together, None for
+    # no limit.
     rate_limit: float | None = None
-    # Whether the upstream is about to end.
+    # Whether the upstream is about to stop.
     is_leaving: bool = False
 
 
@@ -83,22 +83,22 @@
     """Reads and writes the headers of relayed requests."""
 
     def read_request(self, head: RequestHead) -> RequestFacts:
-        """Return what the caller says.
+        """Decode the headers of a caller's request.
 
-        Raise `Failure` with `INVALID_REQUEST` for headers with faults.
+        Raise `Failure` with `INVALID_REQUEST` for malformed headers.
         """
 
     def write_request(self, head: RequestHead, forwarding: Forwarding) -> RequestHead:
-        """Return the head that goes to the upstream."""
+        """Return the request head to send to the upstream."""
 
     def read_answer(self, head: AnswerHead) -> AnswerFacts:
-        """Return what the upstream says."""
+        """Decode the headers of an upstream's answer."""
 
     def write_answer(self, head: AnswerHead, is_framed: bool) -> tuple[Header, ...]:
-        """Return the headers that go to the caller.
+        """Return the headers to send to the caller.
 
-        With `is_framed`, the upstream's length of the body is left out.
+        With `is_framed`, the upstream's Content-Length is omitted.
         """
 
     def write_failure(self, failure: Failure, attempt_id: bytes) -> Answer:
-        """Return this system's own answer to a request that it gives up."""
+        """Return the error answer for a request that failed."""
--- a/src/pepperstep/ports/upstreams.py
+++ b/src/pepperstep/ports/upstreams.py
@@ -1,4 +1,4 @@
-"""Calls to model engines and plain services (docs/INTERFACES.md)."""
+"""Client interface of model engines and plain services (docs/INTERFACES.md)."""
 
 import enum
 from collections.abc import AsyncIterator
@@ -24,18 +24,18 @@
 
 
 class UpstreamFault(Exception):
-    """An upstream did not do its work; see the subclasses.
+    """Base class of failed calls to an upstream.
 
-    `has_answered` tells that it answered, and so lives.
+    `has_answered` is true if the upstream answered, which shows that it is alive.
     """
 
     has_answered = False
 
 
 class UpstreamRefused(UpstreamFault):
-    """The request surely did not run: no byte was sent, or it was refused.
+    """The request did not run: no byte was sent, or the upstream refused it.
 
-    `retry_after` is in seconds, None if the upstream named no time.
+    `retry_after` is in seconds, None if the upstream stated no time.
     """
 
     def __init__(self, text: str, retry_after: float | None = None):
@@ -44,29 +44,29 @@
 
 
 class UpstreamLost(UpstreamFault):
-    """The connection broke or the answer is damaged: it may have run."""
+    """The connection broke or the answer is invalid; the request may have run."""
 
 
 @dataclass(frozen=True, slots=True)
 class GenerateOrder:
-    """One attempt to generate tokens, from the position len(prefix) on."""
+    """One attempt to generate tokens, starting at position len(prefix)."""
 
     attempt_id: str
     model_key: ModelKey
     prompt: str
-    # Tokens that earlier attempts have generated.
+    # Tokens that earlier attempts generated.
     prefix: tuple[str, ...]
-    # Tokens of the whole answer, prefix included.
+    # Maximum length of the whole answer, including the prefix.
     max_tokens: int
     seed: int
     priority: int
-    # Attempt whose KV cache was imported here, "" for none.
+    # Attempt whose KV cache was imported into this engine, "" for none.
     imported_attempt: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class TokenChunk:
-    """Tokens in a row, the first of which stands at `position`."""
+    """Consecutive tokens of an answer, starting at `position`."""
 
     attempt_id: str
     position: int
@@ -75,27 +75,27 @@
 
 @dataclass(frozen=True, slots=True)
 class EndMark:
-    """End of an answer with the count of its tokens, prefix included."""
+    """End of an answer; `count` is its number of tokens, including the prefix."""
 
     attempt_id: str
     count: int
     # "stop" or "length".
     finish: str
-    # Tokens of prompt and prefix that were computed, and found in the cache.
+    # Prompt and prefix tokens that were computed, and those found in the cache.
     computed_tokens: int = 0
     cached_tokens: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class CacheExport:
-    """Size of a KV cache that has arrived at its target."""
+    """Size of a KV cache that was transferred to its target."""
 
     tokens: int
     size_bytes: int
 
 
 class OrderKind(enum.StrEnum):
-    """What an order tells an upstream to do."""
+    """Operation that an upstream is told to perform."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -105,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamOrder:
-    """An order with its fencing number, which grows with each order."""
+    """An order with its fencing token, which increases with each order."""
 
     id: str
     kind: OrderKind
@@ -116,47 +116,47 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamState:
-    """What an upstream answers when its state is read back."""
+    """State that an upstream reports on request."""
 
     epoch: int
     models: frozenset[ModelKey]
     role: Role
     is_leaving: bool
-    # Highest fencing number and last order that it has accepted.
+    # Highest fencing token and last order that the upstream has accepted.
     fence: int
     last_order: str
 
 
 class UpstreamClient(Protocol):
-    """Client of upstreams; a connection that broke is never used again."""
+    """Client of upstreams; a broken connection is never reused."""
 
     def generate(
         self, upstream: Upstream, order: GenerateOrder
     ) -> AbstractAsyncContextManager[AsyncIterator[TokenChunk | EndMark]]:
-        """Open an attempt and yield its chunks up to the end mark.
+        """Start an attempt and yield its chunks, then the end mark.
 
-        Raise `UpstreamRefused` or `UpstreamLost` at entry or between chunks.
+        Raise `UpstreamRefused` or `UpstreamLost` on entry or between chunks.
         Leaving the block early cancels the attempt.
         """
 
     async def cancel(self, upstream: Upstream, attempt_id: str) -> bool:
-        """Return whether the upstream confirmed that the attempt has ended."""
+        """Cancel an attempt; return whether the upstream confirmed its end."""
 
     async def export_cache(
         self, upstream: Upstream, attempt_id: str, target: Upstream
     ) -> CacheExport:
-        """Stop the attempt and send its KV cache to `target`."""
+        """Stop the attempt and transfer its KV cache to `target`."""
 
     async def call_service(
         self, upstream: Upstream, request: Request, attempt_id: str
     ) -> ServiceAnswer:
-        """Return the whole answer of a plain service."""
+        """Send a request to a plain service and return the complete answer."""
 
     async def send_order(self, upstream: Upstream, order: UpstreamOrder) -> None:
         """Return once the upstream has accepted the order.
 
-        Raise `UpstreamRefused` if its fencing number is old.
+        Raise `UpstreamRefused` if its fencing token is outdated.
         """
 
     async def read_state(self, upstream: Upstream) -> UpstreamState:
-        """Return the state as the upstream has it now."""
+        """Return the upstream's current state."""
--- a/src/pepperstep/ports/usage.py
+++ b/src/pepperstep/ports/usage.py
@@ -1,4 +1,4 @@
-"""Where the usage of workspaces is reported."""
+"""Reports of each workspace's usage, for accounting."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -8,9 +8,9 @@
 
 @dataclass(frozen=True, slots=True)
 class UsageReport:
-    """Requests that began to run in one window, by workspace."""
+    """Number of requests that started in one accounting window, by workspace."""
 
-    # Host that reports, and its fencing token.
+    # Reporting host and its fencing token.
     holder: str
     fence: int
     window: int
@@ -18,11 +18,11 @@
 
 
 class UsageLedger(Protocol):
-    """Takes reports; a repeat of the same report has no effect."""
+    """Client of the ledger; reports are idempotent."""
 
     async def report(self, report: UsageReport) -> None:
-        """Return once the report is taken.
+        """Return once the report is accepted.
 
-        Raise `Failure` with `FENCED` if another host has a higher token, and
-        with `PEER_UNREACHABLE` if there was no clear answer.
+        Raise `Failure` with `FENCED` if another host has a higher fencing token,
+        and with `PEER_UNREACHABLE` if the result is unknown.
         """
--- a/src/pepperstep/ports/weights.py
+++ b/src/pepperstep/ports/weights.py
@@ -1,4 +1,4 @@
-"""The weight store, whose rate is limited."""
+"""Weight store of the models, which has a limited transfer rate."""
 
 from typing import Protocol
 
@@ -6,10 +6,10 @@
 
 
 class WeightStore(Protocol):
-    """Client of the weight store; raises OSError where it can't be reached."""
+    """Client of the weight store; raises OSError if the store is unreachable."""
 
     async def size_bytes(self, model: str, version: str) -> int:
-        """Return the size of a model's weights; KeyError if it has none."""
+        """Return the size of a model's weights; raise KeyError for an unknown model."""
 
     async def rate(self) -> float:
-        """Return the bytes a second that all engines together may fetch."""
+        """Return the transfer limit of all engines together, in bytes per second."""
