--- a/src/pepperstep/programs/__init__.py
+++ b/src/pepperstep/programs/__init__.py
@@ -1,1 +1,1 @@
-"""Hosts and daemons: the jobs put together with their adapters."""
+"""Hosts and daemons, assembled from components and adapters."""
--- a/src/pepperstep/programs/control_host.py
+++ b/src/pepperstep/programs/control_host.py
@@ -1,4 +1,4 @@
-"""A host that keeps what all have agreed on, put together."""
+"""Assembly of a control host, which holds a replica of the agreed state."""
 
 import trio
 from absl import logging
@@ -40,21 +40,21 @@
 
 __all__ = ["ControlHost"]
 
-# Operators and upstreams wait one second for an answer before they ask
-# another host.
+# Operators and upstreams try another host after one second without an answer, so both
+# timeouts are shorter.
 _PROPOSE_SECONDS = 0.9
 _READ_SECONDS = 0.8
-# Time by which an order that is sent again may come late, in seconds.
+# Maximum delay in seconds of an order that is sent again.
 _RESEND_MARGIN_SECONDS = 2.0
-# Time for which an upstream that counts as silent is kept in mind, in seconds: what
-# is told of it meanwhile isn't news. 10,000 upstreams of which one in a hundred
-# crashes in an hour leave 17 of these.
+# Seconds for which a silent upstream stays known, so that late reports about it don't
+# count as news. With 10,000 upstreams and 1% of them crashing per hour, 17 silent
+# upstreams are kept.
 _FORGET_SECONDS = 600.0
-_TIDY_SECONDS = 1.0
+_CLEAN_UP_SECONDS = 1.0
 
 
 class ControlHost:
-    """Keeps the agreed state, and answers operators, upstreams and callers."""
+    """Replicates the agreed state and serves operators, upstreams and callers."""
 
     def __init__(self, settings: RelaySettings, ports: RelayPorts):
         self._settings = settings
@@ -75,10 +75,10 @@
         self.tables = TableStore(ports.decode)
         self.machine = TableMachine(self.tables.take)
         self.metrics = RelayMetrics()
-        self._usage = UsageMachine()
+        self._usage_machine = UsageMachine()
         self.agreement.register(TABLE_MACHINE, self.machine)
         self._rollout_machine = RolloutMachine()
-        self.agreement.register(USAGE_MACHINE, self._usage)
+        self.agreement.register(USAGE_MACHINE, self._usage_machine)
         self.agreement.register(ROLLOUT_MACHINE, self._rollout_machine)
         self.book = UpstreamBook(ports.timers.now, self._peer_name)
         self.entries = EntryBook(ports.timers.now)
@@ -144,31 +144,33 @@
             rollouts=self.rollouts,
         )
         self.sync.on_reply = self.desk.absorb
-        self._silence = SilenceJudge(self.book, ports.timers.now, self._contact)
-        self._duty = Duty(
+        self._silence_detector = SilenceJudge(
+            self.book, ports.timers.now, self._contact
+        )
+        self._leader_lease = Duty(
             settings.host, self.agreement, ports.timers, settings.bounds.duty_lease
         )
         self._watch_gauges()
-        self._reporter = self._make_reporter(ports)
-        self._ordering = self._make_ordering(ports)
+        self._usage_reporter = self._make_usage_reporter(ports)
+        self._autoscaler = self._make_autoscaler(ports)
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED) -> None:
-        """Run all parts but the listeners until cancelled."""
+        """Run all components except the listeners until cancelled."""
         await self._hints.load()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._hints.run)
             await nursery.start(self.agreement.run)
             await nursery.start(self.sync.run)
-            nursery.start_soon(self._tidy)
+            nursery.start_soon(self._clean_up)
             nursery.start_soon(self.rollouts.run)
-            if self._reporter is not None:
-                nursery.start_soon(self._reporter.run)
-            if self._ordering is not None:
-                nursery.start_soon(self._ordering.run)
+            if self._usage_reporter is not None:
+                nursery.start_soon(self._usage_reporter.run)
+            if self._autoscaler is not None:
+                nursery.start_soon(self._autoscaler.run)
             task_status.started()
 
     async def put_table(self, version: int, document: bytes) -> None:
-        """Return once the document is agreed on, or known as not higher."""
+        """Return once the document, or one of its version or later, is committed."""
         self._contact.check()
         await propose_table(
             self.agreement,
@@ -177,10 +179,10 @@
             Document(version, document),
             _PROPOSE_SECONDS,
         )
-        logging.info("control: Acknowledges version %d of the routes.", version)
+        logging.info("control: Acknowledged version %d of the routes.", version)
 
     async def read_table(self) -> bytes:
-        """Return the newest agreed document."""
+        """Return the latest committed document."""
         self._contact.check()
         await self.agreement.barrier(_READ_SECONDS)
         if not self.machine.document.version:
@@ -188,7 +190,7 @@
         return self.machine.document.data
 
     async def start_rollout(self, service: str, to: str, duration: float) -> None:
-        """Return once a service's roll-out to a version is agreed on."""
+        """Return once a service's roll-out to a version is committed."""
         self._contact.check()
         if not self.tables.is_known:
             raise Failure(Code.NOT_READY, "This host knows no routes yet.")
@@ -198,20 +200,20 @@
         await self.rollouts.start(service, to, duration)
 
     async def read_rollout(self, service: str) -> Rollout:
-        """Return a service's latest roll-out, as agreed."""
+        """Return a service's latest committed roll-out."""
         self._contact.check()
         return await self.rollouts.read(service)
 
     async def note_announcement(self, announcement: Announcement) -> None:
-        """Take in what an upstream says of itself."""
+        """Apply an upstream's announcement of itself."""
         await self.desk.note_announcement(announcement)
 
     async def note_gone(self, upstream: str, incarnation: int | None = None) -> None:
-        """Take in that an upstream ends."""
+        """Record that an upstream has ended."""
         await self.desk.note_gone(upstream, incarnation)
 
     def entry_addresses(self, zone: str) -> list[str]:
-        """Return addresses for callers, those of their availability zone first."""
+        """Return entry host addresses for callers, those of `zone` first."""
         return self.entries.directory(zone).addresses(zone)
 
     def _control_hosts(self) -> list[str]:
@@ -226,11 +228,11 @@
         watch("control_hosts", "In reach.", lambda: len(self.sync.reached))
         watch("upstreams", "That take work.", self.book.working_count)
 
-    def _make_reporter(self, ports: RelayPorts) -> UsageReporter | None:
+    def _make_usage_reporter(self, ports: RelayPorts) -> UsageReporter | None:
         if ports.ledger is None:
             return None
         return UsageReporter(
-            self._duty,
+            self._leader_lease,
             self._settings.bounds.usage_window,
             self.agreement,
             self.entries,
@@ -239,11 +241,11 @@
             lambda: self.sync.true_time,
         )
 
-    def _make_ordering(self, ports: RelayPorts) -> Ordering | None:
+    def _make_autoscaler(self, ports: RelayPorts) -> Ordering | None:
         if ports.orders is None:
             return None
         return Ordering(
-            self._duty,
+            self._leader_lease,
             ports.orders,
             self.tables,
             self.entries,
@@ -253,8 +255,8 @@
             self.rollouts.is_trial,
         )
 
-    async def _tidy(self) -> None:
-        async for _ in self._timers.subscribe(_TIDY_SECONDS):
-            self._silence.look()
+    async def _clean_up(self) -> None:
+        async for _ in self._timers.subscribe(_CLEAN_UP_SECONDS):
+            self._silence_detector.look()
             self.book.forget_silent(_FORGET_SECONDS)
             self.entries.note_contacts()
--- a/src/pepperstep/programs/entry_host.py
+++ b/src/pepperstep/programs/entry_host.py
@@ -1,4 +1,4 @@
-"""A host that relays callers' requests, put together."""
+"""Assembly of an entry host, which relays callers' requests to upstreams."""
 
 import trio
 from absl import logging
@@ -45,18 +45,18 @@
 
 __all__ = ["EntryHost"]
 
-# Time for which an upstream that counts as silent is kept in mind, in seconds: what
-# is told of it meanwhile isn't news. 10,000 upstreams of which one in a hundred
-# crashes in an hour leave 17 of these.
+# Seconds for which a silent upstream stays known, so that late reports about it don't
+# count as news. With 10,000 upstreams and 1% of them crashing per hour, 17 silent
+# upstreams are kept.
 _FORGET_SECONDS = 600.0
-_TIDY_SECONDS = 1.0
-# Time after the order to stop from which streams are refused, in seconds:
-# what is taken later may not end before the process has to.
-_STREAMS_SECONDS = 2.5
+_CLEAN_UP_SECONDS = 1.0
+# Seconds after the order to stop for which new streams are still accepted. Streams
+# accepted later may not end before the process is killed.
+_ACCEPT_STREAMS_SECONDS = 2.5
 
 
 class EntryHost:
-    """Relays callers' requests."""
+    """Relays callers' requests to upstreams."""
 
     def __init__(self, settings: RelaySettings, ports: RelayPorts):
         self._settings = settings
@@ -78,7 +78,7 @@
             self._report,
         )
         bounds = settings.bounds
-        self._share = HostShare(max(bounds.retry_window, bounds.quota_window), now)
+        self._host_share = HostShare(max(bounds.retry_window, bounds.quota_window), now)
         self._pools = Pools(ports.connector, self._host_count, now)
         tolerance = QuotaTolerance(bounds.quota_overage, bounds.quota_allowance)
         self._quotas = Quotas(
@@ -106,7 +106,7 @@
             ports.peers,
             ports.timers,
             self.versions.running,
-            self._in_flight_besides,
+            self._in_flight_elsewhere,
         )
         self._backoff = Backoff(now)
         self._permits = Permits(
@@ -141,7 +141,7 @@
             BudgetSettings(
                 bounds.retry_ratio, bounds.retry_window, bounds.retry_allowance
             ),
-            self._share,
+            self._host_share,
             now,
         )
         attempts = Attempts(
@@ -152,7 +152,7 @@
             self._counts,
             self._signals,
             ports.timers,
-            self._note_outcome,
+            self._record_outcome,
         )
         self.relay = Relay(
             ports.wire,
@@ -167,46 +167,46 @@
             RelayJournal(self.metrics, self.tables, self.book, ports.timers),
             ports.timers,
             ports.rng,
-            self._takes_streams,
+            self._accepts_streams,
         )
         self._watch_gauges()
         self.tables.subscribe(self._quotas.watch)
         self.sync.on_admitted = self._quotas.note_elsewhere
         self.sync.on_restart = self._quotas.note_restart
         self.sync.is_hurried = lambda: self._quotas.is_pressed
-        self.book.subscribe(self._note_upstream)
-        self.book.subscribe_restarts(self._note_ended)
-        self.book.subscribe_forgotten(self._note_forgotten)
+        self.book.subscribe(self._handle_upstream_change)
+        self.book.subscribe_restarts(self._handle_restart)
+        self.book.subscribe_forgotten(self._handle_removal)
         self._silence_votes = SilenceVotes(self.book, now)
-        self.sync.on_reply = self._note_reply
+        self.sync.on_reply = self._handle_reply
         self.sync.rollouts_index = lambda: self.versions.index
 
     @property
     def is_ready(self) -> bool:
-        """Whether callers should use this host."""
+        """Whether callers should send requests to this host."""
         return self.tables.is_known and self._leaving_since is None
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED) -> None:
-        """Run all parts but the listeners until cancelled."""
+        """Run all components except the listeners until cancelled."""
         async with trio.open_nursery() as nursery:
             await nursery.start(self.sync.run)
             nursery.start_soon(self._shared_load.run)
             nursery.start_soon(self._observer.run)
             nursery.start_soon(self._signals.run)
             nursery.start_soon(self._permits.run)
-            nursery.start_soon(self._tidy)
+            nursery.start_soon(self._clean_up)
             task_status.started()
 
     def entry_addresses(self, zone: str) -> list[str]:
-        """Return addresses for callers, those of their availability zone first."""
+        """Return entry host addresses for callers, those of `zone` first."""
         own = self._settings.entry.caller_address
         without = own if self._leaving_since is not None else ""
         return self.sync.directory.addresses(zone, without)
 
     def leave(self) -> None:
-        """Stop being told of to callers; requests that come are still answered."""
+        """Leave the directory for callers; incoming requests are still answered."""
         if self._leaving_since is None:
-            logging.info("entry: Leaves.")
+            logging.info("entry: Leaving.")
             self._leaving_since = self._timers.now()
             self.sync.ask_now()
 
@@ -218,10 +218,10 @@
         watch("limited_upstreams", "That state a limit.", self.book.limited_count)
         watch("ready", "1 if callers are told of it.", lambda: self.is_ready)
 
-    def _takes_streams(self) -> bool:
+    def _accepts_streams(self) -> bool:
         if self._leaving_since is None:
             return True
-        return self._timers.now() - self._leaving_since < _STREAMS_SECONDS
+        return self._timers.now() - self._leaving_since < _ACCEPT_STREAMS_SECONDS
 
     def _report(self) -> EntryReport:
         return EntryReport(
@@ -240,22 +240,26 @@
         return self.sync.silence < CONTACT_SECONDS
 
     def _host_count(self) -> int:
-        """Return the entry hosts that share, as one host cut off doesn't know them."""
-        share = self._share
+        """Return the number of entry hosts that share limits, this one included.
+
+        A host that is cut off can't count the others, so a number reported by control
+        hosts takes precedence.
+        """
+        share = self._host_share
         return share.hosts if share.joins else self.sync.entry_count
 
     def _true_time(self) -> float:
         return self.sync.true_time
 
-    def _in_flight_besides(self, rollout: Rollout) -> int:
-        """Return the requests under way at a service's other versions."""
+    def _in_flight_elsewhere(self, rollout: Rollout) -> int:
+        """Return the number of in-flight requests at a service's other versions."""
         return sum(
             self._chooser.work_at(each.key).requests
             for each in self.book.all()
             if each.service == rollout.service and each.software != rollout.to
         )
 
-    def _note_outcome(
+    def _record_outcome(
         self,
         upstream: Announcement,
         route: str,
@@ -266,7 +270,7 @@
         if rollout is not None and rollout.is_running:
             self._observer.note_outcome(rollout, route, upstream, seconds, expected)
 
-    def _take_rollouts(self, reply: pb.SyncReply) -> None:
+    def _apply_rollouts(self, reply: pb.SyncReply) -> None:
         if reply.judge:
             self._observer.judge = reply.judge
         for message in reply.rollouts:
@@ -282,19 +286,19 @@
                 )
                 self._observer.wake()
 
-    def _note_upstream(self, announcement: Announcement) -> None:
+    def _handle_upstream_change(self, announcement: Announcement) -> None:
         self.versions.note_upstream(announcement)
         if not announcement.takes_work:
             self._pools.drop(announcement.key)
         if announcement.is_gone:
             self._forget(announcement.key)
 
-    def _note_ended(self, before: Announcement) -> None:
-        """Drop what an upstream had in the incarnation before its restart."""
+    def _handle_restart(self, before: Announcement) -> None:
+        """Drop the connections and state of an upstream's previous incarnation."""
         self._pools.cut(before.key)
         self._forget(before.key)
 
-    def _note_forgotten(self, upstream: Announcement) -> None:
+    def _handle_removal(self, upstream: Announcement) -> None:
         self._pools.drop(upstream.key)
         self._forget(upstream.key)
         self._silence_votes.forget(upstream.key)
@@ -305,14 +309,14 @@
         self._permits.forget(upstream)
         self._backoff.forget(upstream)
 
-    def _note_reply(self, control_host: str, reply: pb.SyncReply, age: float) -> None:
+    def _handle_reply(self, control_host: str, reply: pb.SyncReply, age: float) -> None:
         self._silence_votes.note_answer(control_host, reply)
         if reply.is_in_contact:
-            self._share.note_told(self.sync.entry_count)
-        self._take_rollouts(reply)
+            self._host_share.note_told(self.sync.entry_count)
+        self._apply_rollouts(reply)
 
-    async def _tidy(self) -> None:
-        async for _ in self._timers.subscribe(_TIDY_SECONDS):
+    async def _clean_up(self) -> None:
+        async for _ in self._timers.subscribe(_CLEAN_UP_SECONDS):
             self.book.forget_silent(_FORGET_SECONDS)
             self._pools.close_expired()
             self._permits.drop_idle()
--- a/src/pepperstep/programs/relay_daemon.py
+++ b/src/pepperstep/programs/relay_daemon.py
@@ -1,8 +1,8 @@
-"""The daemon of a host that relays by operators' routes.
+"""Daemon of a host that relays requests by the operators' routes.
 
-The platform's settings file says which roles the host has. It's separate from
-the daemon with the project's own interface so that a host loads only what its
-roles need: the libraries of the other are not small.
+The platform's settings file lists the host's roles. The daemon is separate from
+`pepperstep.daemon`, whose libraries are large, so that a host loads only the modules
+that its roles need.
 """
 
 import os
@@ -49,22 +49,22 @@
 EXIT_LISTEN = 3
 EXIT_STORAGE = 4
 
-# Where both roles serve their metrics, on the host's own address.
+# Port of the metrics endpoint of both roles, on the host's peer address.
 METRICS_PORT = 9464
 
-# Time for which callers keep the entry hosts' addresses, in seconds. Some keep
-# them three times as long, and a host that stops must wait for these.
+# Time to live of the entry hosts' addresses at callers. Some callers keep the
+# addresses three times as long, and a stopping host must wait for them.
 _DIRECTORY_SECONDS = 1.5
-_LONGEST_KEEP = 3
-# Part of the time until the kill that a stopping entry host uses.
+_MAX_DIRECTORY_LIFETIMES = 3
+# Fraction of the grace period, which ends with the kill, that draining may take.
 _GRACE_SHARE = 0.93
 _POLL_SECONDS = 0.1
-# Operators' documents and answers to them; in bytes.
+# Limits on operators' documents.
 _OPERATOR_LIMITS = CallerLimits(body_bytes=32 * 1024 * 1024)
 
 
 def main(arguments: Sequence[str] = ()) -> None:
-    """Run the daemon until it's told to stop; with --check, only its settings."""
+    """Run the daemon until a stop signal; with --check, only validate the settings."""
     settings = _read_settings()
     if _CHECK in arguments:
         print("The settings are valid.")
@@ -73,31 +73,33 @@
     try:
         trio.run(_run, settings)
     except* OSError as errors:
-        _exit(EXIT_LISTEN, f"{_first_of(errors)}")
+        _exit_with_error(EXIT_LISTEN, f"{_innermost_error(errors)}")
     except* Failure as errors:
-        _exit(EXIT_STORAGE, f"{_first_of(errors)}")
+        _exit_with_error(EXIT_STORAGE, f"{_innermost_error(errors)}")
 
 
 def _read_settings() -> RelaySettings:
     name = os.environ.get(SETTINGS_VARIABLE, "")
     if not name:
-        _exit(EXIT_SETTINGS, f"{SETTINGS_VARIABLE} doesn't name the settings file.")
+        _exit_with_error(
+            EXIT_SETTINGS, f"{SETTINGS_VARIABLE} doesn't name the settings file."
+        )
     try:
         return read_platform_settings(Path(name))
     except InvalidDocument as error:
-        _exit(EXIT_SETTINGS, error.text)
+        _exit_with_error(EXIT_SETTINGS, error.text)
     except OSError as error:
-        _exit(EXIT_SETTINGS, f"The settings can't be read: {error}")
+        _exit_with_error(EXIT_SETTINGS, f"The settings can't be read: {error}")
 
 
-def _first_of(error: BaseException) -> BaseException:
-    """Return what went wrong first; each nursery adds a group around it."""
+def _innermost_error(error: BaseException) -> BaseException:
+    """Return the first error inside the exception groups that nurseries add."""
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
     return error
 
 
-def _exit(code: int, text: str) -> None:
+def _exit_with_error(code: int, text: str) -> None:
     print(f"pepperstepd: {text}", file=sys.stderr)
     sys.exit(code)
 
@@ -125,7 +127,9 @@
         orders=cloud,
     )
     logging.info(
-        "daemon: Starts as %s with peers at %s.", settings.host, settings.peer_address
+        "daemon: Starting host %s, peer address %s.",
+        settings.host,
+        settings.peer_address,
     )
     async with trio.open_nursery() as nursery:
         await nursery.start(peers.serve)
@@ -139,15 +143,15 @@
         for host in filter(None, (entry, control)):
             await _start_metrics(host.metrics, settings, timers, nursery)
         nursery.start_soon(_ignore_reload)
-        await _wait_stop()
+        await _wait_for_stop_signal()
         if entry is not None:
             await _drain(entry, server, settings, timers)
-        logging.info("daemon: Stops.")
+        logging.info("daemon: Stopping.")
         nursery.cancel_scope.cancel()
 
 
 def _make_control(settings: RelaySettings, ports: RelayPorts) -> "ControlHost":
-    # Each role loads what it needs only: callers wait for hosts that start.
+    # Each role imports only its own modules, which shortens the start of a host.
     from pepperstep.programs.control_host import ControlHost
 
     return ControlHost(settings, ports)
@@ -167,9 +171,9 @@
     nursery: trio.Nursery,
 ) -> None:
     role = settings.control
-    calls = ControlCalls(control, decoder)
+    handler = ControlCalls(control, decoder)
     server = Http1Server(
-        role.operator_address, calls.handle, lambda: _OPERATOR_LIMITS, timers.now
+        role.operator_address, handler.handle, lambda: _OPERATOR_LIMITS, timers.now
     )
     await nursery.start(server.run)
     if role.directory_address:
@@ -186,9 +190,9 @@
     timers: TrioTimers,
     nursery: trio.Nursery,
 ) -> None:
-    keep = min(_DIRECTORY_SECONDS, settings.bounds.directory_seconds)
-    calls = DirectoryCalls(host, keep)
-    server = Http1Server(address, calls.handle, CallerLimits, timers.now)
+    time_to_live = min(_DIRECTORY_SECONDS, settings.bounds.directory_seconds)
+    handler = DirectoryCalls(host, time_to_live)
+    server = Http1Server(address, handler.handle, CallerLimits, timers.now)
     await nursery.start(server.run)
 
 
@@ -208,10 +212,10 @@
     await nursery.start(server.run)
     if role.readiness_address:
         readiness = ReadinessCalls(lambda: entry.is_ready)
-        other = Http1Server(
+        readiness_server = Http1Server(
             role.readiness_address, readiness.handle, CallerLimits, timers.now
         )
-        await nursery.start(other.run)
+        await nursery.start(readiness_server.run)
     if role.directory_address:
         await _start_directory(entry, role.directory_address, settings, timers, nursery)
     await nursery.start(entry.run)
@@ -235,13 +239,13 @@
 
 
 async def _ignore_reload() -> None:
-    """Keep running when the settings change: what may change counts at a start."""
+    """Ignore SIGHUP: changed settings take effect at the next start."""
     with trio.open_signal_receiver(signal.SIGHUP) as signals:
         async for _ in signals:
-            logging.info("daemon: Was told to reload; nothing to change.")
+            logging.info("daemon: Ignored SIGHUP: settings are read at the start only.")
 
 
-async def _wait_stop() -> None:
+async def _wait_for_stop_signal() -> None:
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for _ in signals:
             return
@@ -253,16 +257,16 @@
     settings: RelaySettings,
     timers: TrioTimers,
 ) -> None:
-    """Answer what is under way, and what callers with old addresses still send."""
+    """Answer requests in flight and those from callers with cached addresses."""
     entry.leave()
     server.announce_closing()
-    begun = timers.now()
+    started = timers.now()
     grace = _GRACE_SHARE * settings.bounds.grace_seconds
-    known_for = min(_LONGEST_KEEP * _DIRECTORY_SECONDS, grace)
+    cached_seconds = min(_MAX_DIRECTORY_LIFETIMES * _DIRECTORY_SECONDS, grace)
     while True:
         await timers.sleep(_POLL_SECONDS)
-        passed = timers.now() - begun
-        if passed >= grace or (passed >= known_for and not server.busy_count):
+        elapsed = timers.now() - started
+        if elapsed >= grace or (elapsed >= cached_seconds and not server.busy_count):
             return
 
 
--- a/src/pepperstep/programs/relay_ports.py
+++ b/src/pepperstep/programs/relay_ports.py
@@ -1,4 +1,4 @@
-"""What a host that relays needs from outside."""
+"""External services that a relaying host depends on."""
 
 import random
 from dataclasses import dataclass
@@ -15,9 +15,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayPorts:
-    """What a host needs from outside.
+    """External services of a host.
 
-    `storage`, `ledger` and `orders` are for control hosts.
+    Only control hosts use `storage`, `ledger` and `orders`.
     """
 
     timers: Timers
--- a/src/pepperstep/programs/relay_settings.py
+++ b/src/pepperstep/programs/relay_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a host that relays by operators' routes, in the product's words."""
+"""Settings of a relaying host, independent of the platform's file format."""
 
 from dataclasses import dataclass, field
 
@@ -7,10 +7,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryRole:
-    """Where an entry host listens (host:port)."""
+    """Listen addresses of an entry host (host:port)."""
 
     caller_address: str
-    # Where it answers whether it takes requests, "" for nowhere.
+    # Address of the readiness endpoint, "" for none.
     readiness_address: str = ""
     # Where callers ask for entry hosts, "" for nowhere.
     directory_address: str = ""
@@ -18,53 +18,54 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlRole:
-    """Where a control host listens (host:port), and its part in the log."""
+    """Listen addresses of a control host (host:port), and its log settings."""
 
     operator_address: str
     data_folder: str
     # Where callers ask for entry hosts, "" for nowhere.
     directory_address: str = ""
-    # Whether the seeds form a new group; otherwise this host joins theirs.
+    # Whether the seeds bootstrap a new group; otherwise this host joins their group.
     forms_group: bool = False
-    # Control hosts that may be lost at once with their disks.
+    # Number of control hosts that may be lost at once with their disks.
     tolerated_losses: int = 1
 
 
 @dataclass(frozen=True, slots=True)
 class RelayBounds:
-    """What the deployment demands of all hosts together; times in seconds."""
+    """Guarantees that all hosts together give to a deployment; times in seconds."""
 
-    # From an upstream's acknowledged end until nothing new reaches it.
+    # From the acknowledgement of an upstream's end until it gets no new requests.
     drain_seconds: float = 2.0
-    # From the order to stop until the process is killed.
+    # From the stop signal until the process is killed.
     grace_seconds: float = 8.0
-    # From a table's acknowledgement until it's in force everywhere.
+    # From the acknowledgement of a route table until it's in force on all hosts.
     in_force_seconds: float = 2.0
-    # Time within which an operator sends an order again.
+    # Time within which an operator repeats an unanswered order.
     order_seconds: float = 5.0
-    # Requests that a bad new version may have: as a share of all, and besides.
+    # Requests that may be exposed to a bad new version: a share of all requests plus
+    # a fixed allowance.
     expose_share: float = 0.1
     expose_allowance: float = 50.0
-    # Retries of a service for each first attempt and in each window besides.
+    # Retries of a service per first attempt, plus an allowance in each window.
     retry_ratio: float = 0.2
     retry_window: float = 10.0
     retry_allowance: float = 50.0
     quota_window: float = 8.0
-    # What a workspace may get beyond its quota: as a share of it, and besides.
+    # Usage of a workspace beyond its quota: a share of the quota plus an allowance.
     quota_overage: float = 0.1
     quota_allowance: float = 0.0
-    # Length of the accounting's windows, and when usage is due after one.
+    # Length of an accounting window, and time after its end until usage is due.
     usage_window: float = 5.0
     usage_late: float = 10.0
-    # Time within which two hosts don't take turns at a duty.
+    # Lease of a duty, such as usage reports, that a single host performs at a time.
     duty_lease: float = 3.0
-    # Longest time for which callers keep the entry hosts' addresses.
+    # Maximum time for which callers cache the entry hosts' addresses.
     directory_seconds: float = 5.0
 
 
 @dataclass(frozen=True, slots=True)
 class RelaySettings:
-    """All settings of one process; `peer_address` is also its name among hosts."""
+    """All settings of one process; `peer_address` also identifies it to peers."""
 
     host: str
     zone: str
@@ -76,6 +77,6 @@
     zones: tuple[str, ...] = ()
     entry: EntryRole | None = None
     control: ControlRole | None = None
-    # host:port of the API that takes usage and orders, "" for none.
+    # host:port of the API for usage reports and orders, "" for none.
     cloud_address: str = ""
     bounds: RelayBounds = field(default_factory=RelayBounds)
