--- a/src/pepperstep/__init__.py
+++ b/src/pepperstep/__init__.py
@@ -1,4 +1,4 @@
-"""Serves language models and plain services on reclaimable hosts."""
+"""Serving of language models and plain services on reclaimable hosts."""
 
 __all__ = ["__version__"]
 
--- a/src/pepperstep/daemon.py
+++ b/src/pepperstep/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon `pepperstepd`."""
+"""Daemon `pepperstepd` with the project's own interfaces."""
 
 import random
 import secrets
@@ -46,13 +46,13 @@
     try:
         trio.run(_run, settings)
     except* OSError as errors:
-        _exit(EXIT_LISTEN, f"{_first_of(errors)}")
+        _exit_with_error(EXIT_LISTEN, f"{_innermost_error(errors)}")
     except* Failure as errors:
-        _exit(EXIT_STORAGE, f"{_first_of(errors)}")
+        _exit_with_error(EXIT_STORAGE, f"{_innermost_error(errors)}")
 
 
-def _first_of(error: BaseException) -> BaseException:
-    """Return what went wrong first; each nursery adds a group around it."""
+def _innermost_error(error: BaseException) -> BaseException:
+    """Return the first error inside the exception groups that nurseries add."""
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
     return error
@@ -60,16 +60,16 @@
 
 def _read_settings(name: str) -> Settings:
     if not name:
-        _exit(EXIT_SETTINGS, "Name the settings by --config FILE.")
+        _exit_with_error(EXIT_SETTINGS, "Name the settings by --config FILE.")
     try:
         return read_settings(Path(name))
     except InvalidDocument as error:
-        _exit(EXIT_SETTINGS, f"Settings are invalid:\n{error.text}")
+        _exit_with_error(EXIT_SETTINGS, f"Settings are invalid:\n{error.text}")
     except OSError as error:
-        _exit(EXIT_SETTINGS, f"Settings can't be read: {error}")
+        _exit_with_error(EXIT_SETTINGS, f"Settings can't be read: {error}")
 
 
-def _exit(code: int, text: str) -> None:
+def _exit_with_error(code: int, text: str) -> None:
     print(f"pepperstepd: {text}", file=sys.stderr)
     sys.exit(code)
 
@@ -77,9 +77,9 @@
 async def _run(settings: Settings) -> None:
     rng = random.Random(secrets.randbits(64))
     peers = GrpcPeers(
-        settings.host.name, settings.host.peer_address, _credentials(settings.tls)
+        settings.host.name, settings.host.peer_address, _peer_credentials(settings.tls)
     )
-    node = Node(settings, _ports_of(settings, peers, rng))
+    node = Node(settings, _make_ports(settings, peers, rng))
     api = Api(node, node.metrics, node.operations)
     async with trio.open_nursery() as nursery:
         await nursery.start(peers.serve)
@@ -100,16 +100,16 @@
 async def _serve(
     api: Api, node: Node, settings: Settings, nursery: trio.Nursery
 ) -> None:
-    """Serve callers until the host has drained and all connections are done."""
+    """Serve callers until the host has drained and all connections are closed."""
     is_drained = trio.Event()
 
     async def drain() -> None:
-        await node.wait_drain_asked()
+        await node.wait_drain_requested()
         await node.drain()
         is_drained.set()
 
     nursery.start_soon(drain)
-    logging.info("daemon: Listens on %s.", settings.host.caller_address)
+    logging.info("daemon: Listening on %s.", settings.host.caller_address)
     await serve_api(api, settings, lambda: node.configuration.limits, is_drained.wait)
 
 
@@ -119,14 +119,16 @@
             node.start_drain()
 
 
-def _ports_of(settings: Settings, peers: GrpcPeers, rng: random.Random) -> Ports:
+def _make_ports(settings: Settings, peers: GrpcPeers, rng: random.Random) -> Ports:
     cloud_url = settings.cloud.cloud_url
     weights_url = settings.cloud.weight_store_url
     data_folder = settings.control.data_folder
     return Ports(
         timers=TrioTimers(rng),
         peers=peers,
-        upstreams=HttpUpstreams(settings.upstream_key, _trust(settings.tls)),
+        upstreams=HttpUpstreams(
+            settings.upstream_key, _upstream_tls_context(settings.tls)
+        ),
         rng=rng,
         storage=FolderStorage(Path(data_folder)) if data_folder else None,
         cloud=HttpCloud(cloud_url) if cloud_url else None,
@@ -134,14 +136,14 @@
     )
 
 
-def _trust(tls: TlsSettings) -> ssl.SSLContext | None:
-    """Return what upstreams' certificates are checked by, None for no TLS."""
+def _upstream_tls_context(tls: TlsSettings) -> ssl.SSLContext | None:
+    """Return the context that verifies upstreams' certificates, None without TLS."""
     if not tls.upstream_authority:
         return None
     return ssl.create_default_context(cafile=tls.upstream_authority)
 
 
-def _credentials(tls: TlsSettings) -> PeerCredentials | None:
+def _peer_credentials(tls: TlsSettings) -> PeerCredentials | None:
     if not tls.peer_certificate:
         return None
     return PeerCredentials(
--- a/src/pepperstep/errors.py
+++ b/src/pepperstep/errors.py
@@ -1,7 +1,7 @@
-"""Errors with codes, and what each one says about the request's execution.
+"""Error codes and exceptions for refused and failed requests.
 
-`Code` names every refusal; `Execution` tells a caller whether the request can
-have run; `Failure` is the exception that carries both to the border.
+`Code` identifies the cause, `Execution` states whether the request may have run, and
+`Failure` is the exception that carries both to the API that answers the request.
 """
 
 import enum
@@ -11,16 +11,16 @@
 
 
 class Execution(enum.StrEnum):
-    """What is known about the execution of a request that has failed."""
+    """Whether a failed request may have been executed."""
 
-    # No byte of the request can have reached an upstream that may execute it.
+    # No byte of the request reached an upstream that might execute it.
     NOT_RUN = "not_run"
-    # The request, or a part of it, may have been executed.
+    # The request may have been executed, at least in part.
     MAY_HAVE_RUN = "may_have_run"
 
 
 class Code(enum.StrEnum):
-    """Codes of errors, as callers, operators and logs see them."""
+    """Error codes, as shown to callers and operators and in logs."""
 
     INVALID_REQUEST = "invalid_request"
     BODY_TOO_LARGE = "body_too_large"
@@ -57,9 +57,9 @@
 
 
 class Failure(Exception):
-    """An error with a code, a sentence for people and a time to come back.
+    """An error with a code, a readable sentence and a delay before a retry.
 
-    `retry_after` is in seconds; None means that coming back is of no use.
+    `retry_after` is in seconds, None if a retry is of no use.
     """
 
     def __init__(
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """One fault in a document, with the file and the key path it stands at."""
+    """One fault in a document, with its file and key path."""
 
     file: str
     path: str
@@ -90,7 +90,7 @@
 
 
 class InvalidDocument(Failure):
-    """A document with faults, all of which are in `findings`."""
+    """An invalid document; `findings` holds all its faults."""
 
     def __init__(self, findings: list[Finding]):
         lines = "\n".join(str(finding) for finding in findings)
--- a/src/pepperstep/first_documents.py
+++ b/src/pepperstep/first_documents.py
@@ -1,4 +1,4 @@
-"""Proposes the documents of the settings while no configuration was agreed."""
+"""Bootstrap of the configuration from the documents in the settings."""
 
 from pathlib import Path
 
@@ -17,8 +17,8 @@
 
 __all__ = ["propose_first_documents"]
 
-_PERIOD = 0.5
-_PROPOSE_SECONDS = 5.0
+_CHECK_PERIOD_SECONDS = 0.5
+_PROPOSE_TIMEOUT_SECONDS = 5.0
 
 
 async def propose_first_documents(
@@ -27,15 +27,15 @@
     agreement: Agreement,
     timers: Timers,
 ) -> None:
-    """Propose base and overlays if this host leads and nothing was agreed yet.
+    """Propose the base and overlays if this host leads and no configuration exists.
 
-    Return once there is a configuration. All control hosts may try: the change
-    ids are the same, so each document is accepted once.
+    Return once all documents are committed. Any control host may try: the change ids
+    are fixed, so each document is accepted once.
     """
     if not documents.base:
         return
-    changes = _changes_of(documents)
-    async for _ in timers.subscribe(_PERIOD):
+    changes = _make_changes(documents)
+    async for _ in timers.subscribe(_CHECK_PERIOD_SECONDS):
         if store.is_ready and store.revision >= len(changes):
             return
         if agreement.is_leader and store.is_ready:
@@ -45,37 +45,39 @@
 async def _propose(changes: list[Change], store: ConfigurationStore) -> None:
     for change in changes:
         try:
-            answer = await store.apply_change(change, _PROPOSE_SECONDS)
+            answer = await store.apply_change(change, _PROPOSE_TIMEOUT_SECONDS)
         except Failure as failure:
             if failure.code is not Code.NO_QUORUM:
                 raise
             return
-        logging.info("configuration: First %s: %s.", change.document, answer.status)
+        logging.info("configuration: Initial %s: %s.", change.document, answer.status)
 
 
-def _changes_of(documents: DocumentSettings) -> list[Change]:
-    """Return the changes, each made by an operator of the document's site."""
-    base = _read(documents.base, BASE)
+def _make_changes(documents: DocumentSettings) -> list[Change]:
+    """Return one change per document, made by an operator of its site."""
+    base = _parse_file(documents.base, BASE)
     changes = [
-        Change("first-base", BASE, _text(documents.base), 0, _base_operator(base), "")
+        Change(
+            "first-base", BASE, _read_text(documents.base), 0, _base_operator(base), ""
+        )
     ]
     for path in documents.overlays:
-        overlay = _read(path, "")
+        overlay = _parse_file(path, "")
         site = str(overlay.table["site"])
         operator = _site_operator(base, overlay, site)
-        text = _text(path)
+        text = _read_text(path)
         changes.append(
             Change(f"first-{site}", site, text, len(changes), operator, site)
         )
     return changes
 
 
-def _text(path: str) -> str:
+def _read_text(path: str) -> str:
     return Path(path).read_text()
 
 
-def _read(path: str, name: str) -> Document:
-    return parse(_text(path), name, path)
+def _parse_file(path: str, name: str) -> Document:
+    return parse(_read_text(path), name, path)
 
 
 def _base_operator(base: Document) -> str:
--- a/src/pepperstep/node.py
+++ b/src/pepperstep/node.py
@@ -1,4 +1,4 @@
-"""One host's parts put together, on ports that the daemon or a test gives."""
+"""Assembly of a host's components on the ports of the daemon or of a test."""
 
 import random
 from collections.abc import Callable
@@ -39,17 +39,17 @@
 
 __all__ = ["Node", "Policies", "Ports"]
 
-_JOIN_SECONDS = 2.0
-_RETRY_SECONDS = 0.5
+_JOIN_TIMEOUT_SECONDS = 2.0
+_JOIN_RETRY_SECONDS = 0.5
 _DRAIN_POLL_SECONDS = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class Ports:
-    """What a host needs from outside.
+    """External services of a host.
 
-    `storage` is for control hosts; `cloud` and `weights` for those that run
-    the fleet.
+    Only control hosts use `storage`; `cloud` and `weights` are for the control hosts
+    that manage the fleet.
     """
 
     timers: Timers
@@ -63,18 +63,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Policies:
-    """Policies in place of the usual ones, for comparisons."""
+    """Overrides of the default policies, for comparisons."""
 
     routing: RoutingSettings | None = None
     moves: MoveSettings | None = None
-    # Whether requests that crash upstreams are convicted.
+    # Whether requests that crash upstreams are detected and refused.
     is_guarded: bool = True
     # A name in `pepperstep.fleet.policies.POLICIES`.
     fleet: str = "planned"
 
 
 class Node:
-    """A host with its parts, which run until it's cancelled or has drained."""
+    """A host and its components, which run until cancelled or drained."""
 
     def __init__(
         self, settings: Settings, ports: Ports, policies: Policies | None = None
@@ -87,7 +87,7 @@
         self._settings = settings
         self._ports = ports
         self._policies = policies or Policies()
-        self._drain_asked = trio.Event()
+        self._drain_requested = trio.Event()
         incarnation = int(ports.timers.wall() * 1000)
         self.directory = Membership.from_config(
             self.host,
@@ -97,7 +97,7 @@
             ports.rng,
             incarnation,
         )
-        self.agreement = _agreement_of(settings, ports)
+        self.agreement = _make_agreement(settings, ports)
         self.agreement.register(LINK_MACHINE, LinkMachine())
         self.agreement.register(MACHINE_NAME, ClaimMachine())
         self.store = self._make_store()
@@ -123,7 +123,7 @@
             settings=self._policies.moves,
             is_guarded=self._policies.is_guarded,
         )
-        self.registry.subscribe(self._note_upstream)
+        self.registry.subscribe(self._handle_upstream_change)
         self.router = self._make_router()
         self.requests = self._make_requests(incarnation)
         self._fleet = self._make_fleet()
@@ -145,25 +145,25 @@
 
     @property
     def configuration(self) -> Configuration:
-        """The configuration in force, of revision 0 while none is known."""
+        """The configuration in force, with revision 0 until one is known."""
         return self.store.current
 
     @property
     def is_leaving(self) -> bool:
-        """Whether this host has begun to leave."""
-        return self._drain_asked.is_set()
+        """Whether this host has started to drain."""
+        return self._drain_requested.is_set()
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED) -> None:
-        """Run all parts until cancelled."""
+        """Run all components until cancelled."""
         async with trio.open_nursery() as nursery:
-            for start in self._starters():
+            for start in self._run_methods():
                 await nursery.start(start)
-            nursery.start_soon(self._join_fences)
-            logging.info("node: Host %s runs.", self.host.name)
+            nursery.start_soon(self._join_fencing)
+            logging.info("node: Host %s is running.", self.host.name)
             task_status.started()
 
     def reasons_not_ready(self) -> list[str]:
-        """Return why this host should get no requests now."""
+        """Return the reasons why this host should get no requests, none if ready."""
         reasons = []
         if self.is_leaving:
             reasons.append("The host leaves.")
@@ -178,22 +178,22 @@
         return reasons
 
     def start_drain(self) -> None:
-        """Begin to leave; `wait_drained` returns once that's done."""
+        """Request a drain, on which `wait_drain_requested` returns."""
         if not self.is_leaving:
-            logging.info("node: Drains.")
+            logging.info("node: Draining.")
             self.events.note("node", "The host leaves.", "A drain was asked for.")
-        self._drain_asked.set()
+        self._drain_requested.set()
 
-    async def wait_drain_asked(self) -> None:
-        """Return once the host has been asked to leave."""
-        await self._drain_asked.wait()
+    async def wait_drain_requested(self) -> None:
+        """Return once a drain has been requested."""
+        await self._drain_requested.wait()
 
     async def drain(self) -> None:
-        """Leave without cutting off a request.
+        """Leave without aborting a request.
 
-        The host leaves the list of entry hosts at once and serves on for as
-        long as callers keep that list. What still runs after the drain's time
-        is handed over to the second hosts.
+        The host leaves the list of entry hosts at once and keeps serving for as long
+        as callers cache that list. Requests that still run at the end of the drain's
+        time limit are handed over to their second hosts.
         """
         await self.directory.leave()
         await self.timers.sleep(self.configuration.limits.entry_hosts_seconds)
@@ -204,11 +204,11 @@
             await self.requests.hand_over()
 
     async def depart(self) -> None:
-        """Tell the others that this host has left."""
+        """Announce to the other hosts that this host has left."""
         await self.directory.depart()
 
-    def _starters(self) -> list[Callable]:
-        starters = [
+    def _run_methods(self) -> list[Callable]:
+        methods = [
             self.directory.run,
             self.agreement.run,
             self.store.run,
@@ -218,8 +218,8 @@
             self.requests.run,
         ]
         if self._fleet is not None:
-            starters.append(self._fleet.run)
-        return starters
+            methods.append(self._fleet.run)
+        return methods
 
     def _make_store(self) -> ConfigurationStore:
         control = self._settings.control.voters
@@ -285,7 +285,7 @@
         return Fleet.from_config(
             ports,
             lambda: self.configuration,
-            self._reclaim,
+            self._handle_reclaims,
             policy=self._policies.fleet,
         )
 
@@ -295,16 +295,16 @@
         watch("is_leader", "1 on the leader.", lambda: self.agreement.is_leader)
         watch("in_flight", "Requests owned.", lambda: self.requests.running)
 
-    def _note_upstream(self, change: UpstreamChange) -> None:
-        """Move requests off an upstream that says it leaves."""
+    def _handle_upstream_change(self, change: UpstreamChange) -> None:
+        """Move requests off an upstream that announces that it leaves."""
         before, after = change.before, change.after
         if after is None or not after.is_leaving:
             return
         if before is None or not before.is_leaving:
             self.recovery.moves.note_leaving(after)
 
-    async def _reclaim(self, notices: list[ReclaimNotice]) -> None:
-        """Tell all entry hosts of hosts that the cloud takes back."""
+    async def _handle_reclaims(self, notices: list[ReclaimNotice]) -> None:
+        """Announce hosts that the cloud reclaims to all entry hosts."""
         for notice in notices:
             self.registry.mark_host_leaving(notice.host_id)
             self.events.note("fleet", f"The cloud takes {notice.host_id} back.")
@@ -312,15 +312,15 @@
             [Notice(f"cloud-{each.id}", each.at, each.host_id) for each in notices]
         )
 
-    async def _join_fences(self) -> None:
+    async def _join_fencing(self) -> None:
         start_id = f"{self._ports.rng.getrandbits(64):016x}"
         while True:
             try:
-                await self._fences.join(start_id, _JOIN_SECONDS)
+                await self._fences.join(start_id, _JOIN_TIMEOUT_SECONDS)
             except Failure as failure:
                 if failure.code is not Code.NO_QUORUM:
                     raise
-                await self.timers.sleep(_RETRY_SECONDS)
+                await self.timers.sleep(_JOIN_RETRY_SECONDS)
             else:
                 return
 
@@ -329,7 +329,7 @@
         return not others
 
 
-def _agreement_of(settings: Settings, ports: Ports) -> Consensus | RemoteAgreement:
+def _make_agreement(settings: Settings, ports: Ports) -> Consensus | RemoteAgreement:
     if "control" not in settings.host.roles:
         return RemoteAgreement.from_config(
             voters=settings.control.voters,
--- a/src/pepperstep/operations.py
+++ b/src/pepperstep/operations.py
@@ -1,4 +1,4 @@
-"""What operators ask of a host: its state, its view of others, and drains."""
+"""Operators' queries to a host about its own state and others, and drains."""
 
 from collections.abc import Callable
 
@@ -18,11 +18,11 @@
 
 __all__ = ["Operations"]
 
-_DRAIN_SECONDS = 2.0
+_DRAIN_TIMEOUT_SECONDS = 2.0
 
 
 class Operations:
-    """Operators' view of one host and of the parts that it runs."""
+    """Operators' interface to one host and its components."""
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
 
     def status(self) -> StatusView:
         """Return the state of this host."""
-        leader, voters, is_redundant = self._log_state()
+        leader, voters, is_redundant = self._consensus_state()
         return StatusView(
             host=self._host.name,
             zone=self._host.zone,
@@ -72,11 +72,11 @@
         )
 
     def hosts(self) -> list[HostView]:
-        """Return the hosts that this one knows, itself included."""
+        """Return the hosts known to this host, including itself."""
         return [_host_view(member) for member in self._membership.members()]
 
     def upstreams(self) -> list[UpstreamView]:
-        """Return the upstreams with a lease, leaving ones included."""
+        """Return the upstreams with a lease, including those that are leaving."""
         states = {each.name: each for each in self._router.status.upstreams}
         return [
             _upstream_view(each, states.get(each.name))
@@ -84,13 +84,13 @@
         ]
 
     async def drain(self, host: str) -> None:
-        """Let a host leave; return once it has agreed."""
+        """Start the drain of a host; return once the host has accepted."""
         if host == self._host.name:
             self._start_drain()
             return
         if self._membership.state_of(host) is None:
             raise Failure(Code.UNKNOWN_NAME, f"No host {host}.")
-        await self._peers.call(host, operations_pb2.DrainHost(), _DRAIN_SECONDS)
+        await self._peers.call(host, operations_pb2.DrainHost(), _DRAIN_TIMEOUT_SECONDS)
 
     async def _handle_drain(
         self, message: operations_pb2.DrainHost, sender: str
@@ -98,7 +98,7 @@
         self._start_drain()
         return operations_pb2.DrainAccepted()
 
-    def _log_state(self) -> tuple[str, tuple[VoterView, ...], bool | None]:
+    def _consensus_state(self) -> tuple[str, tuple[VoterView, ...], bool | None]:
         if not isinstance(self._agreement, Consensus):
             return self._agreement.leader, (), None
         status = self._agreement.status()
--- a/src/pepperstep/proto/codec.py
+++ b/src/pepperstep/proto/codec.py
@@ -1,4 +1,4 @@
-"""Envelopes around messages, encoded and decoded by the type's full name."""
+"""Encoding of messages in envelopes that name the message type."""
 
 from google.protobuf import message, message_factory, symbol_database
 
@@ -11,7 +11,7 @@
 
 
 def encode(body: message.Message, sender: str, incarnation: int = 0) -> bytes:
-    """Return `body` in an envelope."""
+    """Return an encoded envelope with `body`."""
     envelope = envelope_pb2.Envelope(
         kind=body.DESCRIPTOR.full_name,
         body=body.SerializeToString(),
@@ -22,7 +22,7 @@
 
 
 def encode_failure(failure: Failure, sender: str) -> bytes:
-    """Return the envelope that raises `failure` at the receiver."""
+    """Return an encoded envelope that makes `decode` raise `failure`."""
     body = envelope_pb2.Failure(code=failure.code, text=failure.text)
     return encode(body, sender)
 
@@ -30,8 +30,8 @@
 def decode(data: bytes) -> tuple[message.Message, str]:
     """Return the message and its sender.
 
-    Raise `Failure`: the one that the envelope holds, or `INVALID_REQUEST` for
-    bytes that are no envelope of a known type.
+    Raise the `Failure` that the envelope holds, or one with `INVALID_REQUEST` for
+    bytes that aren't an envelope with a known message type.
     """
     try:
         envelope = envelope_pb2.Envelope.FromString(data)
@@ -39,7 +39,7 @@
     except (message.DecodeError, KeyError, UnicodeDecodeError) as error:
         raise Failure(Code.INVALID_REQUEST, "Message can't be decoded.") from error
     if envelope.kind == _FAILURE_KIND:
-        raise _failure_of(body)
+        raise _to_failure(body)
     return body, envelope.sender
 
 
@@ -48,7 +48,7 @@
     return message_factory.GetMessageClass(descriptor)
 
 
-def _failure_of(body: envelope_pb2.Failure) -> Failure:
+def _to_failure(body: envelope_pb2.Failure) -> Failure:
     try:
         return Failure(Code(body.code), body.text)
     except ValueError:
--- a/src/pepperstep/splices.py
+++ b/src/pepperstep/splices.py
@@ -1,18 +1,18 @@
-"""Differences between two texts, as stretches that are replaced by others."""
+"""Differences between two texts, as a list of replaced ranges."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
 from typing import AnyStr, Generic, Protocol
 
-__all__ = ["Splice", "Stretch", "apply_splices", "make_splice", "make_splices"]
+__all__ = ["Splice", "SpliceLike", "apply_splices", "make_splice", "make_splices"]
 
-# Where documents are cut into the pieces that they are compared by: behind the members
-# of JSON's lists of objects.
-_PIECE_END = b"},"
+# Documents are compared by pieces that end with this separator, so that each piece is
+# an element of a JSON array of objects.
+_PIECE_SEPARATOR = b"},"
 
 
-class Stretch(Protocol[AnyStr]):
-    """What `apply_splices` reads of a splice."""
+class SpliceLike(Protocol[AnyStr]):
+    """Attributes of a splice that `apply_splices` reads."""
 
     start: int
     removed: int
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Splice(Generic[AnyStr]):
-    """One stretch of a text replaced; positions are those in the old text."""
+    """Replacement of one range of a text; positions refer to the old text."""
 
     start: int
     removed: int
@@ -29,7 +29,7 @@
 
 
 def make_splice(old: AnyStr, new: AnyStr) -> Splice[AnyStr]:
-    """Return the one splice that turns `old` into `new`."""
+    """Return a single splice that turns `old` into `new`."""
     shorter = min(len(old), len(new))
     start = _common_prefix(old, new, shorter)
     tail = _common_suffix(old, new, shorter - start)
@@ -37,12 +37,12 @@
 
 
 def make_splices(old: bytes, new: bytes) -> list[Splice[bytes]]:
-    """Return splices, by their positions, that turn `old` into `new`.
+    """Return splices, sorted by position, that turn `old` into `new`.
 
-    Pieces that were moved backwards are removed and inserted.
+    Pieces that moved towards the start are removed and inserted again.
     """
     splices = []
-    for start, end, inserted in _changed_stretches(_split(old), _split(new)):
+    for start, end, inserted in _changed_ranges(_split(old), _split(new)):
         splice = make_splice(old[start:end], inserted)
         if splice.removed or splice.inserted:
             at = start + splice.start
@@ -50,10 +50,10 @@
     return splices
 
 
-def apply_splices(old: AnyStr, splices: Iterable[Stretch[AnyStr]]) -> AnyStr:
-    """Return `old` with the splices' stretches replaced.
+def apply_splices(old: AnyStr, splices: Iterable[SpliceLike[AnyStr]]) -> AnyStr:
+    """Return `old` with all splices applied.
 
-    Raise `ValueError` for splices that overlap or lie outside of the text.
+    Raise `ValueError` for splices that overlap or exceed the text.
     """
     parts = []
     position = 0
@@ -66,15 +66,15 @@
     return old[:0].join(parts)
 
 
-def _changed_stretches(
+def _changed_ranges(
     old: list[bytes], new: list[bytes]
 ) -> Iterator[tuple[int, int, bytes]]:
-    """Yield start and end in the old text, and the bytes in their place."""
-    places = _places_of(old)
+    """Yield start and end of each changed range of the old text, and its new bytes."""
+    indices = _unique_indices(old)
     index = offset = start = 0
     inserted: list[bytes] = []
     for piece in new:
-        target = _next_place(old, places, index, piece)
+        target = _find_piece(old, indices, index, piece)
         if target is None:
             inserted.append(piece)
             continue
@@ -88,34 +88,34 @@
     yield start, offset + sum(map(len, old[index:])), b"".join(inserted)
 
 
-def _places_of(pieces: list[bytes]) -> dict[bytes, int]:
-    """Return where each piece stands, without those that come several times.
+def _unique_indices(pieces: list[bytes]) -> dict[bytes, int]:
+    """Return the index of each piece that occurs exactly once.
 
-    These say little about how far to skip.
+    A repeated piece doesn't identify the index at which the texts match again.
     """
-    places: dict[bytes, int] = {}
+    indices: dict[bytes, int] = {}
     repeated = set()
     for index, piece in enumerate(pieces):
-        if places.setdefault(piece, index) != index:
+        if indices.setdefault(piece, index) != index:
             repeated.add(piece)
     for piece in repeated:
-        del places[piece]
-    return places
+        del indices[piece]
+    return indices
 
 
-def _next_place(
-    old: list[bytes], places: dict[bytes, int], index: int, piece: bytes
+def _find_piece(
+    old: list[bytes], indices: dict[bytes, int], index: int, piece: bytes
 ) -> int | None:
-    """Return where a piece goes on from `index`, None if it's inserted."""
+    """Return the index of `piece` in `old` from `index` on, None if it's inserted."""
     if index < len(old) and old[index] == piece:
         return index
-    place = places.get(piece, -1)
-    return place if place > index else None
+    found = indices.get(piece, -1)
+    return found if found > index else None
 
 
 def _split(data: bytes) -> list[bytes]:
-    *pieces, last = data.split(_PIECE_END)
-    return [piece + _PIECE_END for piece in pieces] + [last]
+    *pieces, last = data.split(_PIECE_SEPARATOR)
+    return [piece + _PIECE_SEPARATOR for piece in pieces] + [last]
 
 
 def _common_prefix(old: AnyStr, new: AnyStr, limit: int) -> int:
--- a/src/pepperstep/tasks.py
+++ b/src/pepperstep/tasks.py
@@ -1,4 +1,4 @@
-"""A task that runs as long as the work beside it."""
+"""Background tasks that are cancelled with the work that they accompany."""
 
 from collections.abc import Awaitable, Callable
 from typing import TypeVar
@@ -13,9 +13,10 @@
 async def run_beside(
     background: Callable[[], Awaitable[None]], work: Callable[[], Awaitable[T]]
 ) -> T:
-    """Return the result of `work`, or raise its error itself, not in a group.
+    """Return the result of `work`, or raise its error outside an exception group.
 
-    `background` is cancelled then; it must handle its own errors.
+    `background` runs concurrently and is cancelled when `work` ends. It must handle
+    its own errors.
     """
     error: Exception | None = None
     result: T | None = None
