--- a/src/pepperstep/observability/__init__.py
+++ b/src/pepperstep/observability/__init__.py
@@ -1,6 +1,6 @@
-"""What operators see of a host: metrics, logs, events and explanations.
+"""Metrics, logs, events and explanations of a host, for operators.
 
-Each program loads the modules that it needs of it.
+Each program imports only the submodules that it needs.
 """
 
 from pepperstep.observability.events import Event, EventLog
--- a/src/pepperstep/observability/decisions.py
+++ b/src/pepperstep/observability/decisions.py
@@ -1,6 +1,6 @@
-"""Typed events of the relay's log: what was decided, by which inputs.
+"""Typed events of the relay's log: decisions and their inputs.
 
-Each is logged by `absl.logging` as the argument of a line, and comes out as
+An event is passed to `absl.logging` as the argument of a log line and is written as
 fields of that line.
 """
 
@@ -40,15 +40,15 @@
     attempt: int
     service: str
     upstream: str
-    # Number of the upstream's announcement, and the version of the book.
+    # Sequence number of the upstream's announcement, and version of the catalog.
     announcement: int
     upstreams_version: int
     routes_version: int
     candidates: int
-    # Prompt tokens that it has to read, and when the first token is expected.
+    # Prompt tokens that the upstream must process, and expected time to first token.
     missing_tokens: int = 0
     first_token_ms: int = 0
-    # From the request's arrival.
+    # Time since the request's arrival.
     since_arrival_ms: int = 0
 
 
@@ -58,7 +58,7 @@
     request: str
     attempt: int
     upstream: str
-    # Whether the upstream may have run it.
+    # Whether the upstream may have run the request.
     may_have_run: bool
     reason: str
     after_ms: int
@@ -67,7 +67,7 @@
 class RetryAsked(Decision, tag="retry_asked"):
     """A request asked its host's retry budget for another attempt.
 
-    Requests and retries are those of the service in the budget's window.
+    `requests` and `retries` are those of the service in the budget's window.
     """
 
     request: str
@@ -75,14 +75,14 @@
     is_granted: bool
     requests: int
     retries: int
-    # Retries that this host may send besides its share of the requests, by now, and the
-    # number of hosts that it divides what all may send by.
+    # Retries that this host may currently send beyond its ratio of requests, and the
+    # number of hosts that share the retries of the whole system.
     saved: float
     hosts: int
 
 
 class RequestRefused(Decision, tag="request_refused"):
-    """A request ended by this system's own answer."""
+    """A request was answered with an error of this system."""
 
     request: str
     code: str
@@ -93,39 +93,39 @@
     retry_after_ms: int = 0
     workspace: str = ""
     prompt_tokens: int = 0
-    # Whether the answer had begun and was broken off.
+    # Whether the answer had already begun and was aborted.
     was_begun: bool = False
-    # The service that it was for, and how many of its upstreams this host counts on.
+    # Service of the request, and how many of its upstreams this host considers usable.
     service: str = ""
     upstreams: int = 0
-    # Where no route led, the host and path that were asked for.
+    # Requested host and path, if no route matches them.
     target: str = ""
 
 
 class QuotaExceeded(Decision, tag="quota_exceeded"):
-    """A request is over its workspace's quota, as this host knows it.
+    """A request exceeds its workspace's quota, as far as this host knows.
 
-    All figures are in the quota's unit.
+    All amounts are in the quota's unit.
     """
 
     request: str
     workspace: str
     cost: float
-    # Left for all hosts together, and of this host's own part.
+    # Remaining quota of all hosts together, and of this host's own share.
     left: float
     own_left: float
-    # Kept for what hosts spend before they know of each other's spending.
+    # Reserve for what hosts spend before they learn of each other's spending.
     reserve: float
     # Hosts that share the quota.
     hosts: int
-    # The host that grants what is left and refused it, "" without its answer; and
-    # what it had left.
+    # Host that grants the remaining quota and refused it, "" without an answer, and the
+    # amount that this host had left.
     asked: str
     left_there: float
 
 
 class RequestEnded(Decision, tag="request_answered"):
-    """A request got an upstream's answer."""
+    """A request was answered by an upstream."""
 
     request: str
     route: str
@@ -134,13 +134,13 @@
     attempts: int
     first_ms: int
     after_ms: int
-    # Time that the route aims at, 0 for none, and the prompt's size.
+    # Target latency of the route, 0 for none, and the size of the prompt.
     target_ms: int = 0
     prompt_tokens: int = 0
 
 
 class TableInForce(Decision, tag="routes_in_force"):
-    """A table of routes came in force on this host."""
+    """A route table came into force on this host."""
 
     version: int
     version_before: int
@@ -149,64 +149,64 @@
 
 
 class UpstreamState(Decision, tag="upstream_state"):
-    """What this host believes of an upstream has changed."""
+    """The state of an upstream, as this host sees it, has changed."""
 
     upstream: str
     incarnation: int
     service: str
-    # "working", "leaving", "silent" or "gone"; empty before it was known.
+    # "working", "leaving", "silent" or "gone"; `state_before` is empty for a new one.
     state: str
     state_before: str
-    # By whose word: a host's name, or what it was concluded from.
+    # Source of the state: a host's name, or the observation that implies it.
     told_by: str
-    # The upstream's latest announcement, and its age.
+    # Sequence number of the upstream's latest announcement, and its age.
     announcement: int
     announced_ms_ago: int
     upstreams_version: int
 
 
 class UpstreamHeld(Decision, tag="upstream_held"):
-    """This host leaves an upstream alone for a while."""
+    """This host sends no requests to an upstream for a while."""
 
     upstream: str
     incarnation: int
     reason: str
     for_ms: int
-    # The host that grants the upstream's permits and granted none, "" for this host's
-    # own decision.
+    # Host that grants the upstream's permits and refused one, "" for a decision of this
+    # host itself.
     asked: str = ""
 
 
 class UpstreamLeaving(Decision, tag="upstream_leaving"):
-    """An answer says that its upstream leaves, and this host hadn't been told."""
+    """An answer states that its upstream leaves, which this host didn't know yet."""
 
     request: str
     upstream: str
     incarnation: int
     service: str
-    # Version of the book with that taken in.
+    # Version of the catalog that includes the change.
     upstreams_version: int
 
 
 class LeavingAcknowledged(Decision, tag="leaving_acknowledged"):
-    """A control host is about to acknowledge that an upstream leaves or ends."""
+    """A control host is about to acknowledge that an upstream leaves or has ended."""
 
     upstream: str
     incarnation: int
     service: str
     is_gone: bool
-    # Whether this host had known it before.
+    # Whether this host knew of the departure before.
     is_repeat: bool
-    # Control hosts that have taken it in by now.
+    # Control hosts that have recorded the departure so far.
     known_by: list[str]
-    # Since the announcement has arrived.
+    # Time since the arrival of the announcement.
     after_ms: int
 
 
 class UpstreamLimit(Decision, tag="upstream_limit"):
-    """The rate limit that an upstream states has changed, as this host knows it.
+    """The rate limit that an upstream states has changed, as this host sees it.
 
-    Limits are requests a second from all hosts together, None for no limit.
+    Limits are in requests per second from all hosts together, None for no limit.
     """
 
     upstream: str
@@ -214,63 +214,63 @@
     service: str
     limit: float | None
     limit_before: float | None
-    # By whose word: a host's name, or "answer" for the upstream's own answer here.
+    # Source of the limit: a host's name, or "answer" for an answer to this host.
     told_by: str
-    # Since the answer that stated it.
+    # Time since the answer that stated the limit.
     stated_ms_ago: int
 
 
 class DutyTaken(Decision, tag="duty_taken"):
-    """This host acts for the whole system from now on."""
+    """This host has acquired the lease for the duties of a single host."""
 
     holder: str
     fence: int
 
 
 class UsageReported(Decision, tag="usage_reported"):
-    """A window's sums were reported to the platform."""
+    """The usage of an accounting window was reported to the platform."""
 
     window: int
     fence: int
     requests: int
     workspaces: int
-    # Lives of entry hosts that have counted something in it.
+    # Incarnations of entry hosts with usage in the window.
     lives: int
 
 
 class ZonePlan(msgspec.Struct, frozen=True):
-    """Upstreams that a zone shall have, and those that stand there."""
+    """Desired and existing upstreams of a service in a zone."""
 
     zone: str
     steady: int
     reclaimable: int
     steady_standing: int
     reclaimable_standing: int
-    # Whether it gives out no reclaimable ones now.
+    # Whether the zone currently has no capacity for reclaimable upstreams.
     is_dry: bool
 
 
 class UpstreamsPlanned(Decision, tag="upstreams_planned"):
-    """What a service's zones shall have has changed."""
+    """The desired upstreams of a service have changed."""
 
     service: str
-    # Upstreams that the work needs, at the most of late and at present.
+    # Upstreams required by the load, at its recent peak and at present.
     needed_at_peak: float
     needed_now: float
     zones: list[ZonePlan]
 
 
 class RolloutMoved(Decision, tag="rollout_moved"):
-    """A roll-out's next step, or its end, with what it rests on."""
+    """A roll-out moved to its next step or ended; the fields hold the inputs."""
 
     service: str
     to: str
     state: str
-    # Part of the service's requests that the new version gets now.
+    # Share of the service's requests that the new version gets.
     share: float
-    # Since the order.
+    # Time since the order of the roll-out.
     after_s: float
-    # Requests that ended on the new version.
+    # Requests that have ended on the new version.
     outcomes: int
     new_upstreams: int
     other_upstreams: int
@@ -278,11 +278,11 @@
 
 
 class EntryContact(Decision, tag="entry_contact"):
-    """An entry host was lost or found by a control host."""
+    """A control host lost or regained contact with an entry host."""
 
     entry: str
     incarnation: int
     zone: str
     is_in_contact: bool
-    # Entry hosts that are in contact now.
+    # Number of entry hosts in contact.
     count: int
--- a/src/pepperstep/observability/events.py
+++ b/src/pepperstep/observability/events.py
@@ -1,4 +1,4 @@
-"""Events of one host, for `pepperstep events`."""
+"""Event log of one host, shown by `pepperstep events`."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -12,23 +12,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """Something that a part of a host did, and why."""
+    """An action of one of a host's components, with its reason."""
 
-    # Grows by one with each event of a host's process.
+    # Increases by one with each event of a host's process.
     id: int
     # Unix time in seconds.
     at: float
     host: str
-    # Part that did it, as in the log: "fleet", "consensus".
+    # Component, by its prefix in the log, such as "fleet" or "consensus".
     part: str
-    # What was done, in one sentence.
+    # Action in one sentence.
     text: str
-    # Why, in one sentence.
+    # Reason in one sentence.
     reason: str = ""
 
 
 class EventLog:
-    """The last events of one host."""
+    """Bounded log of the latest events of one host."""
 
     def __init__(self, host: str, timers: Timers, max_events: int = _MAX_EVENTS):
         self._host = host
@@ -37,7 +37,7 @@
         self._last_id = 0
 
     def note(self, part: str, text: str, reason: str = "") -> None:
-        """Note what a part did now, and why."""
+        """Record an event of a component at the current time."""
         self._last_id += 1
         event = Event(
             self._last_id, self._timers.wall(), self._host, part, text, reason
@@ -45,10 +45,10 @@
         self._events.append(event)
 
     def after(self, event_id: int, limit: int) -> list[Event]:
-        """Return the first `limit` events with an id above `event_id`."""
+        """Return the first `limit` events with an id above `event_id`, oldest first."""
         found = [event for event in self._events if event.id > event_id]
         return found[:limit]
 
     def last(self, limit: int) -> list[Event]:
-        """Return the last `limit` events, oldest first."""
+        """Return the latest `limit` events, oldest first."""
         return list(self._events)[-limit:] if limit > 0 else []
--- a/src/pepperstep/observability/explanations.py
+++ b/src/pepperstep/observability/explanations.py
@@ -1,4 +1,4 @@
-"""What happened to each request, for `pepperstep explain REQUEST_ID`."""
+"""History of each request, shown by `pepperstep explain REQUEST_ID`."""
 
 import enum
 from collections import OrderedDict
@@ -13,10 +13,10 @@
 
 
 class StepKind(enum.StrEnum):
-    """What happened to a request."""
+    """Kind of an event in the processing of a request."""
 
     ACCEPTED = "accepted"
-    # The second host recorded it.
+    # The second host recorded the request.
     RECORDED = "recorded"
     CLAIMED = "claimed"
     QUEUED = "queued"
@@ -26,7 +26,7 @@
     LOST = "lost"
     EXPORTED = "exported"
     MOVED = "moved"
-    # This host became the owner after another one.
+    # This host took the request over from its previous owner.
     TAKEN_OVER = "taken_over"
     HANDED_OVER = "handed_over"
     ANSWERED = "answered"
@@ -35,12 +35,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One thing that happened to a request."""
+    """One event in the processing of a request."""
 
     # Unix time in seconds.
     at: float
     kind: StepKind
-    # Entry host that it concerns: the owner, or the second.
+    # Entry host that the step concerns: the owner or the second host.
     host: str = ""
     attempt: int = 0
     upstream: str = ""
@@ -49,27 +49,27 @@
 
 @dataclass(slots=True)
 class Explanation:
-    """All that this host knows of a request, oldest first."""
+    """Steps of a request that this host recorded, oldest first."""
 
     request_id: str
-    # Host that tells it.
+    # Host that recorded the steps.
     told_by: str
     steps: list[Step] = field(default_factory=list)
-    # Steps that were left out as there were too many, after the first ones.
+    # Number of steps dropped from the middle to bound the memory.
     left_out: int = 0
 
 
 class Explanations:
-    """Explanations of the last requests of one host.
+    """Explanations of the latest requests of one host.
 
-    The oldest request is forgotten once there are more than `max_requests`.
+    The oldest explanation is evicted once there are more than `max_requests`.
     """
 
     def __init__(self, host: str, timers: Timers, max_requests: int = _MAX_REQUESTS):
         self._host = host
         self._timers = timers
         self._max_requests = max_requests
-        self._all: OrderedDict[str, Explanation] = OrderedDict()
+        self._by_request_id: OrderedDict[str, Explanation] = OrderedDict()
 
     def note(
         self,
@@ -81,24 +81,24 @@
         upstream: str = "",
         reason: str = "",
     ) -> None:
-        """Note what happened now."""
-        explanation = self._all.get(request_id)
+        """Record a step of a request at the current time."""
+        explanation = self._by_request_id.get(request_id)
         if explanation is None:
             explanation = self._add(request_id)
         step = Step(self._timers.wall(), kind, host, attempt, upstream, reason)
         explanation.steps.append(step)
         if len(explanation.steps) > _MAX_STEPS:
-            # The beginning and the end say most.
+            # The first and the latest steps are the most informative.
             del explanation.steps[_MAX_STEPS // 2]
             explanation.left_out += 1
 
     def find(self, request_id: str) -> Explanation | None:
-        """Return what is known here of a request."""
-        return self._all.get(request_id)
+        """Return the explanation of a request, None if this host has none."""
+        return self._by_request_id.get(request_id)
 
     def _add(self, request_id: str) -> Explanation:
-        while len(self._all) >= self._max_requests:
-            self._all.popitem(last=False)
+        while len(self._by_request_id) >= self._max_requests:
+            self._by_request_id.popitem(last=False)
         explanation = Explanation(request_id, self._host)
-        self._all[request_id] = explanation
+        self._by_request_id[request_id] = explanation
         return explanation
--- a/src/pepperstep/observability/logs.py
+++ b/src/pepperstep/observability/logs.py
@@ -1,6 +1,6 @@
-"""Logs by absl.logging, as text for people or JSON for programs.
+"""Setup of absl.logging, with text lines or JSON lines.
 
-Each message begins with its part and a colon: "consensus: Became leader."
+Each message starts with the name of its component: "consensus: Became leader."
 """
 
 import enum
@@ -16,14 +16,14 @@
 
 
 class LogFormat(enum.StrEnum):
-    """Form of the log's lines."""
+    """Format of log lines."""
 
     TEXT = "text"
     JSON = "json"
 
 
 class _Line(msgspec.Struct, omit_defaults=True):
-    """One line of the log as JSON."""
+    """Fields of a JSON log line."""
 
     time: str
     level: str
@@ -33,10 +33,10 @@
 
 
 class JsonFormatter(standard_logging.Formatter):
-    """Writes each record as one JSON object on one line."""
+    """Formats each record as a JSON object on one line."""
 
     def format(self, record: standard_logging.LogRecord) -> str:
-        """Return the record's line."""
+        """Return the JSON line of a record."""
         part, message = split_part(record.getMessage())
         exception = ""
         if record.exc_info:
@@ -52,7 +52,7 @@
 
 
 def set_up_logs(log_format: LogFormat) -> None:
-    """Send logs of level INFO and above to stderr in `log_format`."""
+    """Write logs of level INFO and above to stderr in `log_format`."""
     logging.use_absl_handler()
     logging.set_verbosity(logging.INFO)
     logging.set_stderrthreshold("info")
@@ -63,7 +63,7 @@
 
 
 def split_part(text: str) -> tuple[str, str]:
-    """Return the part and the message behind it."""
+    """Split a log message into its component prefix and the rest."""
     part, colon, message = text.partition(": ")
     if not colon or not part.isidentifier():
         return _UNKNOWN_PART, text
@@ -71,6 +71,6 @@
 
 
 def utc_text(created: float) -> str:
-    """Return a Unix time as text, to the millisecond."""
+    """Return a Unix time in ISO 8601 format with milliseconds, in UTC."""
     moment = datetime.fromtimestamp(created, UTC)
     return moment.isoformat(timespec="milliseconds")
--- a/src/pepperstep/observability/metrics.py
+++ b/src/pepperstep/observability/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of one host, in a registry of their own."""
+"""Prometheus metrics of one host, in a separate registry."""
 
 from collections.abc import Callable
 
@@ -24,12 +24,12 @@
 
 _CLASS_LABELS = ("workspace", "class")
 
-# Method that records one time.
+# Method that records one duration in seconds.
 _Observe = Callable[[float], None]
 
 
 class _ClassHistogram:
-    """Histogram by workspace and class that keeps the way to each series."""
+    """Histogram by workspace and priority class that caches its labelled series."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         self._series: dict[tuple[str, Priority], _Observe] = {}
 
     def observe(self, workspace: str, priority: Priority, seconds: float) -> None:
-        """Record one time."""
+        """Record one duration."""
         observe = self._series.get((workspace, priority))
         if observe is None:
             name = Priority(priority).name.lower()
@@ -54,10 +54,10 @@
 
 
 class Metrics:
-    """Recorder that keeps all facts as metrics.
+    """Recorder that exports all facts as metrics.
 
-    Labels come from the configuration and from enumerations only, so that no
-    caller can add series without end.
+    Label values come from the configuration and from enumerations only, so callers
+    can't create an unbounded number of series.
     """
 
     content_type = CONTENT_TYPE_LATEST
@@ -93,55 +93,55 @@
         )
 
     def watch(self, name: str, text: str, value: Callable[[], float]) -> None:
-        """Add a gauge that is read at each scrape.
+        """Add a gauge whose value is read at each scrape.
 
-        Every host has "revision", "is_leader" and "in_flight".
+        Every host has the gauges "revision", "is_leader" and "in_flight".
         """
         gauge = Gauge(f"pepperstep_{name}", text, registry=self.registry)
         gauge.set_function(value)
 
     def render(self) -> bytes:
-        """Return all metrics in the text format."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self.registry)
 
     def note_first_token(
         self, workspace: str, priority: Priority, seconds: float
     ) -> None:
-        """Note the time from a request's arrival to its first token."""
+        """Record the time from a request's arrival to its first token."""
         self._first_token.observe(workspace, priority, seconds)
 
     def note_between_tokens(
         self, workspace: str, priority: Priority, seconds: float
     ) -> None:
-        """Note the mean time between the tokens of one chunk."""
+        """Record the mean time between the tokens of one chunk."""
         self._between_tokens.observe(workspace, priority, seconds)
 
     def note_answered(self, workspace: str, priority: Priority, seconds: float) -> None:
-        """Note the time from a request's arrival to its whole answer."""
+        """Record the time from a request's arrival to its complete answer."""
         self._answered.observe(workspace, priority, seconds)
 
     def note_queued(self, workspace: str, priority: Priority, seconds: float) -> None:
-        """Note the time that an attempt waited for a place."""
+        """Record the time that an attempt waited in a queue for a free slot."""
         self._queued.observe(workspace, priority, seconds)
 
     def note_refused(self, code: Code) -> None:
-        """Note a request that ended by an error."""
+        """Count a request that ended with an error."""
         self._refused.labels(code).inc()
 
     def note_retry(self, cause: RetryCause) -> None:
-        """Note an attempt after the first one."""
+        """Count an attempt after the first one."""
         self._retries.labels(cause).inc()
 
     def note_recomputed(self, cause: RecomputeCause, tokens: int) -> None:
-        """Note tokens of prompt and answer computed again."""
+        """Count prompt and answer tokens that were computed again."""
         self._recomputed.labels(cause).inc(tokens)
 
     def note_chunk_fault(self, fault: ChunkFault) -> None:
-        """Note a chunk that was dropped."""
+        """Count a dropped chunk."""
         self._chunk_faults.labels(fault).inc()
 
     def note_cost(self, deployment: str, price_class: str, amount: float) -> None:
-        """Note money spent on a deployment's hosts."""
+        """Add the cost of a deployment's hosts."""
         self._cost.labels(deployment, price_class).inc(amount)
 
     def _histogram(
--- a/src/pepperstep/observability/recorder.py
+++ b/src/pepperstep/observability/recorder.py
@@ -1,8 +1,8 @@
-"""Facts that the jobs report while they work, one method for each.
+"""Interface through which components report measurements, one method for each.
 
-Each fact has one reporter, so that nothing is counted twice: the HTTP interface
-reports what callers see, routing what waits, requests what attempts do, and the
-fleet what is paid.
+Each measurement has a single reporter, so that nothing is counted twice: the HTTP
+interface reports answers to callers, routing reports queueing, requests report
+attempts, and the fleet reports costs.
 """
 
 import enum
@@ -37,51 +37,51 @@
 class ChunkFault(enum.StrEnum):
     """Why a chunk of an answer was not used."""
 
-    # From an earlier attempt or an attempt that has ended.
+    # Belongs to an earlier attempt or an attempt that has ended.
     LATE = "late"
-    # Carries the id of another request's attempt.
+    # Has the id of another request's attempt.
     CROSSED = "crossed"
     DOUBLED = "doubled"
     GAP = "gap"
 
 
 class Recorder(Protocol):
-    """Takes facts; each call costs a few microseconds and never waits."""
+    """Receives measurements; a call takes a few microseconds and never blocks."""
 
     def note_first_token(
         self, workspace: str, priority: Priority, seconds: float
     ) -> None:
-        """Note the time from a request's arrival to its first token (HTTP)."""
+        """Record the time from a request's arrival to its first token (HTTP)."""
 
     def note_between_tokens(
         self, workspace: str, priority: Priority, seconds: float
     ) -> None:
-        """Note the mean time between the tokens of one chunk (HTTP)."""
+        """Record the mean time between the tokens of one chunk (HTTP)."""
 
     def note_answered(self, workspace: str, priority: Priority, seconds: float) -> None:
-        """Note the time from a request's arrival to its whole answer (HTTP)."""
+        """Record the time from a request's arrival to its complete answer (HTTP)."""
 
     def note_queued(self, workspace: str, priority: Priority, seconds: float) -> None:
-        """Note the time that an attempt waited for a place (routing)."""
+        """Record the time that an attempt waited for a free slot (routing)."""
 
     def note_refused(self, code: Code) -> None:
-        """Note a request that ended by an error (HTTP)."""
+        """Count a request that ended with an error (HTTP)."""
 
     def note_retry(self, cause: RetryCause) -> None:
-        """Note an attempt after the first one (requests)."""
+        """Count an attempt after the first one (requests)."""
 
     def note_recomputed(self, cause: RecomputeCause, tokens: int) -> None:
-        """Note tokens of prompt and answer computed again (requests)."""
+        """Count prompt and answer tokens that were computed again (requests)."""
 
     def note_chunk_fault(self, fault: ChunkFault) -> None:
-        """Note a chunk that was dropped (requests)."""
+        """Count a dropped chunk (requests)."""
 
     def note_cost(self, deployment: str, price_class: str, amount: float) -> None:
-        """Note money spent on a deployment's hosts (fleet)."""
+        """Add the cost of a deployment's hosts (fleet)."""
 
 
 class NullRecorder:
-    """Recorder that drops all facts; the default of the jobs."""
+    """Recorder that ignores all measurements, the default of all components."""
 
     def note_first_token(
         self, workspace: str, priority: Priority, seconds: float
--- a/src/pepperstep/observability/relay_metrics.py
+++ b/src/pepperstep/observability/relay_metrics.py
@@ -1,4 +1,4 @@
-"""Counters and histograms of the relay, by workspace and class of request."""
+"""Prometheus metrics of the relay, by workspace and request class."""
 
 from prometheus_client import (
     CONTENT_TYPE_LATEST,
@@ -15,13 +15,13 @@
 _FIRST_BUCKETS = (0.02, 0.05, 0.1, 0.2, 0.35, 0.54, 0.8, 1, 1.5, 2.5, 5)
 _WHOLE_BUCKETS = (0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10, 20)
 _LABELS = ("workspace", "class")
-# Series at most: a configuration may have workspaces without end.
+# Limit on the label combinations, as a configuration can have any number of workspaces.
 _MAX_SERIES = 400
 _OTHERS = "others"
 
 
 class RelayMetrics:
-    """Metrics of one host; labels come from the configuration only."""
+    """Metrics of one host; label values come from the configuration only."""
 
     content_type = CONTENT_TYPE_LATEST
 
@@ -62,29 +62,29 @@
         self._series: set[tuple[str, str]] = set()
 
     def watch(self, name: str, text: str, value) -> None:
-        """Add a gauge that is read at each scrape."""
+        """Add a gauge whose value is read at each scrape."""
         gauge = Gauge(f"pepperstep_{name}", text, registry=self.registry)
         gauge.set_function(value)
 
     def note_answered(
         self, workspace: str, kind: str, first: float, whole: float
     ) -> None:
-        """Note an answered request and its times in seconds."""
+        """Record an answered request, with its latencies in seconds."""
         labels = self._labels(workspace, kind)
         self._answered.labels(*labels).inc()
         self._first.labels(*labels).observe(first)
         self._whole.labels(*labels).observe(whole)
 
     def note_refused(self, workspace: str, kind: str, code: str) -> None:
-        """Note a request that this system ended itself."""
+        """Count a request that this system answered with an error."""
         self._refused.labels(*self._labels(workspace, kind), code).inc()
 
     def note_failed(self, service: str) -> None:
-        """Note an attempt without an answer for the caller."""
+        """Count an attempt without an answer for the caller."""
         self._failed.labels(service).inc()
 
     def render(self) -> bytes:
-        """Return all metrics in the text format."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self.registry)
 
     def _labels(self, workspace: str, kind: str) -> tuple[str, str]:
--- a/src/pepperstep/observability/views.py
+++ b/src/pepperstep/observability/views.py
@@ -1,4 +1,4 @@
-"""What a host tells operators of itself and of the others it knows."""
+"""Views of a host's state for operators."""
 
 from dataclasses import dataclass
 
@@ -14,43 +14,43 @@
 
 @dataclass(frozen=True, slots=True)
 class VoterView:
-    """A control host's part in the replicated log."""
+    """A control host's role and progress in the replicated log."""
 
     host: str
     # "voter" or "learner".
     role: str
-    # Last entry of its log that is synced; known to the leader alone.
+    # Last log entry that the host has synced to disk; known only to the leader.
     match_index: int = 0
-    # Seconds since its last answer to the leader, None if there was none.
+    # Seconds since the host's last answer to the leader, None without any.
     contact_age: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class StatusView:
-    """State of the host that answers."""
+    """State of the answering host."""
 
     host: str
     zone: str
     region: str
     site: str
-    # Revision of the configuration in force here.
+    # Revision of the configuration in force on this host.
     revision: int
-    # Reasons why it should get no requests now; empty if it is ready.
+    # Reasons why the host should get no requests, empty if the host is ready.
     reasons_not_ready: tuple[str, ...] = ()
     is_leaving: bool = False
     # Name of the leader of the control hosts, "" if none is known.
     leader: str = ""
     term: int = 0
     in_flight: int = 0
-    # Whether all voters answer and have all that is committed, so that one may
-    # be lost; known to the leader alone, None elsewhere.
+    # Whether all voters answer and have all committed entries, so that one voter may be
+    # lost. Known only to the leader, None on other hosts.
     is_redundant: bool | None = None
     voters: tuple[VoterView, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class HostView:
-    """A host as the one that answers sees it."""
+    """A host as seen by the answering host."""
 
     name: str
     # "alive", "leaving", "suspect", "dead" or "left".
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamView:
-    """An upstream as the host that answers sees it."""
+    """An upstream as seen by the answering host."""
 
     name: str
     # "engine" or "service".
@@ -73,36 +73,36 @@
     zone: str
     address: str
     epoch: int
-    # Cloud host that it runs on.
+    # Cloud host that runs the upstream.
     host: str = ""
     service: str = ""
     # Models as MODEL[:ADAPTER[:VERSION]].
     models: tuple[str, ...] = ()
     role: str = ""
     slots: int = 0
-    # Requests that this host has there now, and what the upstream reported.
+    # Requests in flight from this host, and the load that the upstream reported.
     in_flight: int = 0
     running: int = 0
     waiting: int = 0
     is_leaving: bool = False
-    # Why nothing is sent there for the moment, "" if that isn't so.
+    # State that keeps this host from sending requests there, "" if it sends them.
     ejected: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class ValueView:
-    """One value of the configuration in force and where it comes from."""
+    """A value of the configuration in force, with its origin."""
 
     path: str
     # As JSON.
     value: str
-    # "base", a site for its overlay, or "default".
+    # Origin: "base", the site of an overlay, or "default".
     document: str
 
 
 @dataclass(frozen=True, slots=True)
 class DocumentView:
-    """A document of the configuration as it was accepted."""
+    """A configuration document as accepted."""
 
     name: str
     # TOML.
--- a/src/pepperstep/settings.py
+++ b/src/pepperstep/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one daemon, read from a TOML file and validated whole."""
+"""Settings of a daemon, read from a TOML file and validated as a whole."""
 
 import ssl
 from collections.abc import Iterator, Mapping
@@ -28,7 +28,7 @@
 
 _STRICT = ConfigDict(extra="forbid", allow_inf_nan=False)
 _MAX_PORT = 65_535
-_TEXTS = {
+_FAULT_TEXTS = {
     "missing": "is missing",
     "unexpected_keyword_argument": "is not a known key",
     "dataclass_type": "must be a table",
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, config=_STRICT)
 class HostSettings:
-    """Who this host is, and where it listens."""
+    """Identity and listen addresses of this host."""
 
     name: Name
     zone: Name
@@ -54,14 +54,14 @@
     site: Name
     peer_address: Address
     caller_address: Address
-    # Base URL that callers and upstreams get; built from the address if empty.
+    # Base URL for callers and upstreams, derived from `caller_address` if empty.
     caller_url: Url = ""
     roles: tuple[Literal["entry", "control"], ...] = ("entry",)
 
 
 @dataclass(frozen=True, config=_STRICT)
 class Seed:
-    """Another host, by which this one joins."""
+    """Another host through which this one joins the cluster."""
 
     name: Name
     peer_address: Address
@@ -69,10 +69,10 @@
 
 @dataclass(frozen=True, config=_STRICT)
 class ControlSettings:
-    """The replicated log.
+    """Settings of the replicated log.
 
-    `voters` are the control hosts of its first start, which entry hosts ask;
-    `data_folder` is for control hosts.
+    `voters` are the control hosts at its first start, and the ones that entry hosts
+    contact. Only control hosts need a `data_folder`.
     """
 
     voters: tuple[Name, ...] = ()
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, config=_STRICT)
 class TlsSettings:
-    """Files in PEM; each may be empty for no TLS."""
+    """PEM files; an empty path disables the TLS connections that need it."""
 
     caller_certificate: File = ""
     caller_key: File = ""
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, config=_STRICT)
 class DocumentSettings:
-    """Documents that the first start of the control hosts begins with."""
+    """Initial configuration documents, used at the control hosts' first start."""
 
     base: File = ""
     overlays: tuple[File, ...] = ()
@@ -101,17 +101,17 @@
 
 @dataclass(frozen=True, config=_STRICT)
 class RequestSettings:
-    """How this host keeps requests."""
+    """Handling of requests on this host."""
 
-    # One host alone, whose requests have no second host.
+    # Whether this is the only host, so that its requests have no second host.
     is_single: Flag = False
-    # Time that a drain waits for streams before it hands them over.
+    # Time limit of a drain, after which running requests are handed over.
     drain_seconds: PositiveSeconds = 60.0
 
 
 @dataclass(frozen=True, config=_STRICT)
 class CloudSettings:
-    """Where the cloud API and the weight store are; empty for none."""
+    """URLs of the cloud API and the weight store, empty for none."""
 
     cloud_url: Url = ""
     weight_store_url: Url = ""
@@ -128,11 +128,11 @@
     documents: DocumentSettings = field(default_factory=DocumentSettings)
     requests: RequestSettings = field(default_factory=RequestSettings)
     cloud: CloudSettings = field(default_factory=CloudSettings)
-    # Key that this host shows to upstreams.
+    # API key that this host sends to upstreams.
     upstream_key: Key = ""
 
     def to_host(self) -> Host:
-        """Return the host as others know it."""
+        """Return the description of this host that other hosts see."""
         scheme = "https" if self.tls.caller_certificate else "http"
         url = self.host.caller_url or f"{scheme}://{self.host.caller_address}"
         return Host(
@@ -149,14 +149,14 @@
 def read_settings(path: Path) -> Settings:
     """Return the settings in a file.
 
-    Raise `InvalidDocument` with all findings, those of the named documents and
-    certificates included; OSError if the file can't be read.
+    Raise `InvalidDocument` with all findings, including those in the documents and
+    certificates that the settings refer to, and OSError if the file can't be read.
     """
     file = str(path)
     table = parse(path.read_bytes(), "settings", file).table
     values, findings = _validate_sections(file, table)
     findings += [
-        Finding(file, key_path(keys), text) for keys, text in _find_faults(values)
+        Finding(file, key_path(keys), text) for keys, text in _semantic_faults(values)
     ]
     documents = values.get("documents")
     if documents is not None:
@@ -169,7 +169,7 @@
 def _validate_sections(
     file: str, table: Mapping[str, Any]
 ) -> tuple[dict[str, Any], list[Finding]]:
-    """Return the valid sections by name, and what is wrong in the others."""
+    """Return the valid sections by name, and the findings in the others."""
     types = get_type_hints(Settings, include_extras=True)
     values: dict[str, Any] = {}
     findings = [
@@ -186,23 +186,23 @@
         try:
             values[section.name] = adapter.validate_python(table[section.name])
         except ValidationError as error:
-            findings += _findings_of(file, section.name, error)
+            findings += _to_findings(file, section.name, error)
     return values, findings
 
 
-def _findings_of(file: str, section: str, error: ValidationError) -> list[Finding]:
+def _to_findings(file: str, section: str, error: ValidationError) -> list[Finding]:
     return [
         Finding(
             file,
             key_path([section, *fault["loc"]]),
-            _TEXTS.get(fault["type"], fault["msg"]),
+            _FAULT_TEXTS.get(fault["type"], fault["msg"]),
         )
         for fault in error.errors(include_url=False, include_input=False)
     ]
 
 
-def _find_faults(values: Mapping[str, Any]) -> Iterator[tuple[tuple, str]]:
-    """Yield path and text of faults that concern more than a value's form."""
+def _semantic_faults(values: Mapping[str, Any]) -> Iterator[tuple[tuple, str]]:
+    """Yield key path and text of faults beyond the types and forms of values."""
     host: HostSettings | None = values.get("host")
     seeds: tuple[Seed, ...] = values.get("seeds", ())
     control: ControlSettings = values.get("control", ControlSettings())
@@ -218,7 +218,7 @@
     if not host.roles:
         yield ("host", "roles"), "must hold entry, control or both"
     for key in ("peer_address", "caller_address"):
-        if not _is_port(getattr(host, key)):
+        if not _has_valid_port(getattr(host, key)):
             yield ("host", key), f"the port must be from 1 to {_MAX_PORT}"
     if host.peer_address == host.caller_address:
         yield ("host", "caller_address"), "is the address for peers"
@@ -253,7 +253,7 @@
             yield ("seeds", index, "name"), f"{seed.name} stands twice"
         if seed.peer_address in {other.peer_address for other in earlier}:
             yield ("seeds", index, "peer_address"), f"{seed.peer_address} stands twice"
-        if not _is_port(seed.peer_address):
+        if not _has_valid_port(seed.peer_address):
             text = f"the port must be from 1 to {_MAX_PORT}"
             yield ("seeds", index, "peer_address"), text
 
@@ -299,7 +299,7 @@
 
 
 def _check_documents(file: str, documents: DocumentSettings) -> list[Finding]:
-    """Return the findings in the documents that the first start begins with."""
+    """Return the findings in the initial configuration documents."""
     if not documents.base:
         if not documents.overlays:
             return []
@@ -319,7 +319,7 @@
     return []
 
 
-def _is_port(address: str) -> bool:
+def _has_valid_port(address: str) -> bool:
     return 1 <= int(address.rpartition(":")[2]) <= _MAX_PORT
 
 
