--- a/tests/cli/test_daemon.py
+++ b/tests/cli/test_daemon.py
@@ -1,4 +1,4 @@
-"""What the daemon says as it ends by an error."""
+"""Exit code and message of a daemon that fails at its start."""
 
 import socket
 import subprocess
@@ -9,15 +9,15 @@
 from demo.launcher import free_ports
 
 
-def run_daemon(folder, peers: int, callers: int) -> subprocess.CompletedProcess:
-    """Run a control host that ends at its start."""
+def run_daemon(folder, peer_port: int, caller_port: int) -> subprocess.CompletedProcess:
+    """Run a control host that fails at its start."""
     host = {
         "name": "entry-0",
         "zone": "zone-a",
         "region": "dosanko",
         "site": "kitahara",
-        "peer_address": f"127.0.0.1:{peers}",
-        "caller_address": f"127.0.0.1:{callers}",
+        "peer_address": f"127.0.0.1:{peer_port}",
+        "caller_address": f"127.0.0.1:{caller_port}",
         "roles": ["control"],
     }
     control = {"voters": ["entry-0"], "data_folder": str(folder / "data")}
@@ -27,19 +27,19 @@
     return subprocess.run(command, capture_output=True, text=True, timeout=60)
 
 
-def test_damaged_file_is_named(tmp_path):
+def test_message_names_corrupt_file(tmp_path):
     (tmp_path / "data").mkdir()
     damaged = b"damaged, and long enough for a frame"
     (tmp_path / "data" / "control-identity").write_bytes(damaged)
-    ended = run_daemon(tmp_path, *free_ports(2))
-    assert ended.returncode == 4
-    assert "corrupt_storage: control-identity, offset 0" in ended.stderr
+    result = run_daemon(tmp_path, *free_ports(2))
+    assert result.returncode == 4
+    assert "corrupt_storage: control-identity, offset 0" in result.stderr
 
 
-def test_taken_address_is_named(tmp_path):
+def test_message_names_address_in_use(tmp_path):
     (free,) = free_ports(1)
     with socket.create_server(("127.0.0.1", 0)) as taken:
         port = taken.getsockname()[1]
-        ended = run_daemon(tmp_path, port, free)
-    assert ended.returncode == 3
-    assert f"127.0.0.1:{port}" in ended.stderr
+        result = run_daemon(tmp_path, port, free)
+    assert result.returncode == 3
+    assert f"127.0.0.1:{port}" in result.stderr
--- a/tests/cli/test_logs.py
+++ b/tests/cli/test_logs.py
@@ -1,4 +1,4 @@
-"""What `pepperstep logs` tells of a request."""
+"""Command `logs`: the timeline of a request from several hosts' log files."""
 
 import json
 
@@ -6,7 +6,7 @@
 
 from pepperstep.cli.main import main
 
-ENTRY = [
+ENTRY_LINES = [
     {"event": "request_chosen", "request": "r1", "upstream": "u1", "attempt": 1},
     {"event": "attempt_failed", "request": "r1", "upstream": "u1", "reason": "reset"},
     {"event": "attempt_failed", "request": "r2", "upstream": "u1", "reason": "reset"},
@@ -16,12 +16,12 @@
 
 @pytest.fixture
 def files(tmp_path):
-    """Write the lines of an entry host and of a control host."""
+    """Write the log files of an entry host and of a control host."""
     entry = tmp_path / "entry.log"
     lines = [
         {"time": f"2026-03-16T00:34:5{second}.595Z", "host": "e1", "part": "relay"}
         | line
-        for second, line in enumerate(ENTRY)
+        for second, line in enumerate(ENTRY_LINES)
     ]
     text = "".join(json.dumps(line) + "\n" for line in lines)
     entry.write_text(text + "a line of a library about r1\n")
@@ -36,7 +36,7 @@
     return [str(control), str(entry)]
 
 
-def test_steps_stand_in_time_order_with_what_upstreams_did(files, capsys):
+def test_steps_are_in_time_order_with_upstream_events(files, capsys):
     assert main(["logs", "r1", *files]) == 0
     lines = capsys.readouterr().out.splitlines()
     assert [line.split(": ")[1] for line in lines[1:4]] == [
@@ -50,14 +50,14 @@
     assert len(lines) == 6
 
 
-def test_programs_get_the_same_as_json(files, capsys):
+def test_json_output_has_the_same_steps(files, capsys):
     assert main(["logs", "r1", "--json", *files]) == 0
-    story = json.loads(capsys.readouterr().out)
-    assert [step["event"] for step in story["steps"]][-1] == "request_refused"
-    assert story["steps"][1]["inputs"] == {"upstream": "u1", "reason": "reset"}
+    logged = json.loads(capsys.readouterr().out)
+    assert [step["event"] for step in logged["steps"]][-1] == "request_refused"
+    assert logged["steps"][1]["inputs"] == {"upstream": "u1", "reason": "reset"}
 
 
-def test_unknown_request_and_unreadable_file_have_codes_of_their_own(files, capsys):
+def test_unknown_request_and_unreadable_file_have_exit_codes(files, capsys):
     assert main(["logs", "r9", *files]) == 6
     assert main(["logs", "r1", "no-such.log"]) == 2
     assert main(["logs", "r1"]) == 2
--- a/tests/cli/test_settings.py
+++ b/tests/cli/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the daemon are validated whole."""
+"""Validation of the daemon's settings reports all findings at once."""
 
 from pathlib import Path
 
@@ -23,8 +23,8 @@
 CONTROL = {"voters": ["entry-0", "entry-1"], "data_folder": "data"}
 
 
-def findings_of(folder: Path, table: dict) -> list[str]:
-    """Return the findings in settings as PATH: TEXT."""
+def find_faults(folder: Path, table: dict) -> list[str]:
+    """Return the findings in the settings `table`, formatted as PATH: TEXT."""
     path = folder / "settings.toml"
     if "host" in table:
         table = {"control": {"voters": ["entry-0"]}} | table
@@ -96,26 +96,26 @@
         ({"host": HOST, "documents": {"base": "x"}}, ["documents: x: No such file"]),
     ],
 )
-def test_all_findings_have_their_place(tmp_path, table, paths):
-    found = findings_of(tmp_path, table)
+def test_all_findings_have_their_key_path(tmp_path, table, paths):
+    found = find_faults(tmp_path, table)
     assert len(found) == len(paths)
     for text, path in zip(found, paths, strict=True):
         assert text.startswith(path)
 
 
-def test_findings_of_named_documents(tmp_path):
+def test_findings_in_configuration_documents(tmp_path):
     base, overlay = tmp_path / "base.toml", tmp_path / "overlay.toml"
     base.write_text(BASE_TEXT)
     overlay.write_text(OVERLAY_TEXT)
     documents = {"base": str(base), "overlays": [str(overlay)]}
     table = {"host": HOST, "documents": documents}
-    assert findings_of(tmp_path, table) == []
+    assert find_faults(tmp_path, table) == []
     overlay.write_text(OVERLAY_TEXT + "min_replicas = -1\n")
-    (found,) = findings_of(tmp_path, table)
+    (found,) = find_faults(tmp_path, table)
     assert found.startswith("deployments.zaseki-model.min_replicas: ")
 
 
-def test_certificate_must_fit_its_key(tmp_path):
+def test_certificate_must_match_its_key(tmp_path):
     files = {}
     for name in ("one", "other"):
         certificate = trustme.CA().issue_cert("127.0.0.1")
@@ -129,8 +129,8 @@
     tls = {"caller_certificate": files["one", "chain"]}
     good = {"host": HOST, "tls": tls | {"caller_key": files["one", "key"]}}
     bad = {"host": HOST, "tls": tls | {"caller_key": files["other", "key"]}}
-    assert findings_of(tmp_path, good) == []
-    (found,) = findings_of(tmp_path, bad)
+    assert find_faults(tmp_path, good) == []
+    (found,) = find_faults(tmp_path, bad)
     assert found.startswith("tls.caller_certificate: can't be used with caller_key")
 
 
--- a/tests/cli/test_tool.py
+++ b/tests/cli/test_tool.py
@@ -1,4 +1,4 @@
-"""The command-line tool against a server in a thread, and without any."""
+"""Command-line tool, against an HTTP server in a thread and without a server."""
 
 import json
 import socket
@@ -32,13 +32,13 @@
 
 
 def free_port() -> int:
-    """Return a port of loopback that is free now."""
+    """Return a free port of the loopback interface."""
     with socket.create_server(("127.0.0.1", 0)) as server:
         return server.getsockname()[1]
 
 
 class Server:
-    """A fake host that serves in a thread until it's stopped."""
+    """A fake host that serves in a thread until `stop` is called."""
 
     def __init__(self, name: str = "entry-0") -> None:
         self._name = name
@@ -69,7 +69,7 @@
         trio.from_thread.run_sync(note, trio_token=self._token)
 
     def stop(self) -> None:
-        """Stop and wait for the thread's end."""
+        """Stop the server and wait for the end of the thread."""
         self._token.run_sync_soon(self._stop.set)
         self._thread.join(10)
         assert not self._thread.is_alive()
@@ -84,7 +84,7 @@
 
 @pytest.fixture
 def run(server, capsys, monkeypatch):
-    """Return what runs the tool against the server."""
+    """Return a function that runs the tool against the server."""
     monkeypatch.setenv("PEPPERSTEP_KEY", OPERATOR_KEY)
     monkeypatch.setenv("PEPPERSTEP_SERVER", server.url)
 
@@ -114,7 +114,7 @@
         ("show", "deployments.zaseki-model.max_replicas", "values"),
     ],
 )
-def test_views_for_people_and_programs(run, command, text, member):
+def test_views_as_text_and_json(run, command, text, member):
     code, out, _ = run(command)
     assert (code, text in out) == (Exit.OK, True)
     code, out, err = run(command, "--json")
@@ -147,7 +147,7 @@
     assert ("without harm" in out) is (is_redundant is True)
 
 
-def test_show_tells_origins_and_texts(run):
+def test_show_prints_origins_and_documents(run):
     _, out, _ = run("show")
     rows = {line.split()[0]: line.split()[1:] for line in out.splitlines()[2:]}
     assert rows["deployments.zaseki-model.max_replicas"] == ["8", "kitahara"]
@@ -211,7 +211,7 @@
     assert err == "pepperstep: No host entry-9 is known. (unknown_name)\n"
 
 
-def test_explain_asks_the_owner_and_the_hosts_that_took_part(run, server):
+def test_explain_queries_owner_and_participating_hosts(run, server):
     other = Server("entry-1")
     try:
         server.node.hosts = lambda: [
@@ -237,15 +237,15 @@
 
 
 def host_view(name: str, url: str) -> HostView:
-    """Return a host with a URL for callers."""
+    """Return the view of a host with a URL for callers."""
     return HostView(name, "alive", "zone-a", "dosanko", "kitahara", "x:1", url)
 
 
-def test_next_server_is_asked_if_one_cannot_be_reached(run, server):
-    dead = f"http://127.0.0.1:{free_port()}"
-    assert run("status", f"--server={dead},{server.url}")[0] == Exit.OK
-    assert run("status", f"--server={dead}", f"--server={server.url}")[0] == Exit.OK
-    code, out, err = run("status", f"--server={dead}")
+def test_next_server_is_tried_if_one_is_unreachable(run, server):
+    closed = f"http://127.0.0.1:{free_port()}"
+    assert run("status", f"--server={closed},{server.url}")[0] == Exit.OK
+    assert run("status", f"--server={closed}", f"--server={server.url}")[0] == Exit.OK
+    code, out, err = run("status", f"--server={closed}")
     assert (code, out) == (Exit.UNREACHABLE, "")
     assert err.count("\n") == 1
     assert "--server" in err
@@ -263,7 +263,7 @@
     assert run("status", f"--key_file={key_file}")[0] == Exit.OK
 
 
-def test_server_that_is_none_of_ours(run):
+def test_server_of_another_kind(run):
     with socket.create_server(("127.0.0.1", 0)) as listener:
         url = f"http://127.0.0.1:{listener.getsockname()[1]}"
 
@@ -350,7 +350,7 @@
     assert json.loads(capsys.readouterr().out)["is_valid"] is not bool(findings)
 
 
-def test_check_of_bytes_that_are_no_text(tmp_path, capsys):
+def test_check_of_invalid_utf8(tmp_path, capsys):
     path = tmp_path / "a.toml"
     path.write_bytes(b"\xff\xfe")
     assert main(["check", str(path)]) == Exit.INVALID
--- a/tests/observability/test_facts.py
+++ b/tests/observability/test_observability.py
@@ -23,8 +23,8 @@
     RetryCause,
 )
 
-CLASS = 'class="interactive",workspace="planners"'
-FACTS = [
+LABELS = 'class="interactive",workspace="planners"'
+MEASUREMENTS = [
     ("note_first_token", ("planners", Priority.INTERACTIVE, 0.3)),
     ("note_between_tokens", ("planners", Priority.INTERACTIVE, 0.02)),
     ("note_answered", ("planners", Priority.INTERACTIVE, 3.0)),
@@ -35,12 +35,12 @@
     ("note_chunk_fault", (ChunkFault.CROSSED,)),
     ("note_cost", ("zaseki-model", "reclaimable", 0.25)),
 ]
-LINES = {
-    "note_first_token": f"pepperstep_time_to_first_token_seconds_count{{{CLASS}}} 1.0",
+EXPECTED_LINES = {
+    "note_first_token": f"pepperstep_time_to_first_token_seconds_count{{{LABELS}}} 1.0",
     "note_between_tokens": "pepperstep_time_between_tokens_seconds_sum"
-    f"{{{CLASS}}} 0.02",
-    "note_answered": f"pepperstep_request_seconds_count{{{CLASS}}} 1.0",
-    "note_queued": f"pepperstep_queueing_seconds_sum{{{CLASS}}} 0.1",
+    f"{{{LABELS}}} 0.02",
+    "note_answered": f"pepperstep_request_seconds_count{{{LABELS}}} 1.0",
+    "note_queued": f"pepperstep_queueing_seconds_sum{{{LABELS}}} 0.1",
     "note_refused": 'pepperstep_refusals_total{code="queue_full"} 1.0',
     "note_retry": 'pepperstep_retries_total{cause="refused"} 1.0',
     "note_recomputed": 'pepperstep_recomputed_tokens_total{cause="reclaim"} 500.0',
@@ -50,18 +50,18 @@
 }
 
 
-@pytest.mark.parametrize(("method", "arguments"), FACTS)
-def test_fact_becomes_a_metric_of_its_own_host(method, arguments):
+@pytest.mark.parametrize(("method", "arguments"), MEASUREMENTS)
+def test_measurement_is_exported_by_its_own_host(method, arguments):
     here, there = Metrics(), Metrics()
     getattr(here, method)(*arguments)
-    assert LINES[method] in here.render().decode().splitlines()
-    assert LINES[method] not in there.render().decode().splitlines()
+    assert EXPECTED_LINES[method] in here.render().decode().splitlines()
+    assert EXPECTED_LINES[method] not in there.render().decode().splitlines()
     getattr(NullRecorder(), method)(*arguments)
 
 
-def test_each_fact_of_the_recorder_is_tested():
+def test_all_recorder_methods_are_tested():
     names = {name for name in vars(Recorder) if name.startswith("note_")}
-    assert names == {method for method, _ in FACTS}
+    assert names == {method for method, _ in MEASUREMENTS}
 
 
 def test_gauge_is_read_at_each_scrape():
@@ -88,7 +88,7 @@
     assert len(found.steps) <= 64
 
 
-async def test_events_have_growing_ids(autojump_clock):
+async def test_events_have_increasing_ids(autojump_clock):
     log = EventLog("entry-0", FakeTimers(random.Random(1)), 3)
     for number in range(5):
         log.note("fleet", f"Started host {number}.", "The target needs it.")
@@ -107,7 +107,7 @@
         ("two words: here.", "other", "two words: here."),
     ],
 )
-def test_json_line_has_part_and_message(text, part, message):
+def test_json_line_has_component_and_message(text, part, message):
     stream = io.StringIO()
     handler = standard_logging.StreamHandler(stream)
     handler.setFormatter(JsonFormatter())
--- a/tests/whole/test_hash_seed.py
+++ b/tests/whole/test_hash_seed.py
@@ -1,4 +1,8 @@
-"""Hosts do the same whatever the seed of Python's hashes is."""
+"""The behaviour of hosts doesn't depend on Python's hash seed.
+
+Iterating over a set or another hash-ordered collection would make the messages between
+hosts differ from process to process.
+"""
 
 import hashlib
 import os
@@ -15,43 +19,43 @@
 ROOT = Path(__file__).parents[2]
 
 
-async def play(digest) -> None:
-    """Add each message of a run with crashes, a drain and a move to `digest`."""
+async def run_scenario(digest) -> None:
+    """Run hosts with crashes, a drain and a move; add each message to `digest`."""
 
-    def note(sender: str, receiver: str, message) -> None:
+    def record_message(sender: str, receiver: str, message) -> None:
         text = f"{trio.current_time()} {sender} {receiver} {message.DESCRIPTOR.name} "
         digest.update(text.encode())
         digest.update(message.SerializeToString(deterministic=True))
 
     async with start_hosts() as hosts:
-        hosts.network.before = note
+        hosts.network.before = record_message
         await trio.sleep(2)
         owner = hosts.hosts["entry-4"].node.requests
         await owner.submit(hosts.request("entry-4"))
         await trio.sleep(0.2)
-        busy = [each for each in hosts.upstreams.engines if each.load.running]
-        busy[0].leave()
+        busy_engines = [each for each in hosts.upstreams.engines if each.load.running]
+        busy_engines[0].leave()
         hosts.crash("entry-4")
         await trio.sleep(10)
-        other = hosts.hosts["entry-3"].node.requests
+        other_requests = hosts.hosts["entry-3"].node.requests
         for number in range(20):
-            await other.submit(hosts.request("entry-3", number + 10))
+            await other_requests.submit(hosts.request("entry-3", number + 10))
         await hosts.drain("entry-3")
         hosts.crash(hosts.leader)
         await trio.sleep(5)
 
 
 def main() -> None:
-    """Play, and print what the messages come to."""
+    """Run the scenario and print the digest of its messages."""
     _run._ALLOW_DETERMINISTIC_SCHEDULING = True
     _run._r.seed(0)
     digest = hashlib.sha256()
-    trio.run(play, digest, clock=trio.testing.MockClock(autojump_threshold=0))
+    trio.run(run_scenario, digest, clock=trio.testing.MockClock(autojump_threshold=0))
     print(digest.hexdigest())
 
 
-def trace(seed: int) -> str:
-    """Return what a process with this seed prints."""
+def run_with_hash_seed(seed: int) -> str:
+    """Return the digest that a process with this hash seed prints."""
     path = os.pathsep.join((str(ROOT), str(ROOT / "src")))
     result = subprocess.run(
         [sys.executable, "-m", "tests.whole.test_hash_seed"],
@@ -64,8 +68,8 @@
     return result.stdout
 
 
-def test_messages_are_the_same_under_any_hash_seed():
-    assert len({trace(seed) for seed in (0, 1, 77)}) == 1
+def test_messages_are_the_same_for_any_hash_seed():
+    assert len({run_with_hash_seed(seed) for seed in (0, 1, 77)}) == 1
 
 
 if __name__ == "__main__":
--- a/tests/whole/test_whole_hosts.py
+++ b/tests/whole/test_whole_hosts.py
@@ -1,4 +1,4 @@
-"""Whole hosts serve requests through failures of hosts and upstreams."""
+"""Complete hosts serve requests despite failures of hosts and upstreams."""
 
 import pytest
 import trio
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize("fault", ["none", "owner", "leader", "engine", "drain"])
-async def test_answer_is_whole(fault, autojump_clock):
+async def test_answer_is_complete(fault, autojump_clock):
     async with start_hosts() as hosts:
         await trio.sleep(2)
         request = hosts.request("entry-4")
@@ -57,7 +57,7 @@
     assert outcome.is_answered
 
 
-async def test_a_request_is_explained(autojump_clock):
+async def test_explanation_of_a_request(autojump_clock):
     async with start_hosts() as hosts:
         await trio.sleep(2)
         node = hosts.hosts["entry-4"].node
@@ -81,7 +81,7 @@
     assert steps[1].reason
 
 
-async def test_requests_move_off_an_upstream_that_says_it_leaves(autojump_clock):
+async def test_requests_move_off_a_leaving_upstream(autojump_clock):
     async with start_hosts() as hosts:
         await trio.sleep(2)
         node = hosts.hosts["entry-4"].node
