--- a/src/pepperstep/requests/driver.py
+++ b/src/pepperstep/requests/driver.py
@@ -139,7 +139,7 @@
         while True:
             asked_at = self._timers.now()
             placement = await self._placer.place(run, course)
-            self._recorder.note_queued(
+            self._recorder.record_queueing(
                 run.request.workspace,
                 run.request.priority,
                 self._timers.now() - asked_at,
@@ -147,7 +147,7 @@
             upstream = placement.upstream
             course.excluded.add(upstream.name)
             if course.cause is not None:
-                self._recorder.note_retry(_RETRIES[course.cause])
+                self._recorder.record_retry(_RETRIES[course.cause])
             outcome = await self._try(run, placement, course)
             if outcome is not None:
                 return outcome
@@ -310,7 +310,7 @@
         elif len(active.run.tokens) > active.start and not order.imported_attempt:
             tokens = count_prompt_tokens(active.run.request) + active.start
         if tokens:
-            self._recorder.note_recomputed(_RECOMPUTATIONS[cause], tokens)
+            self._recorder.record_recomputed(_RECOMPUTATIONS[cause], tokens)
 
     async def _recover(
         self, run: Run, upstream: Upstream, course: Course, start: int
--- a/tests/moves/moving_hosts.py
+++ b/tests/moves/moving_hosts.py
@@ -22,7 +22,7 @@
     def __init__(self) -> None:
         self.recomputed: Counter[RecomputeCause] = Counter()
 
-    def note_recomputed(self, cause: RecomputeCause, tokens: int) -> None:
+    def record_recomputed(self, cause: RecomputeCause, tokens: int) -> None:
         """Add tokens."""
         self.recomputed[cause] += tokens
 
--- a/tests/observability/test_observability.py
+++ b/tests/observability/test_observability.py
@@ -25,27 +25,28 @@
 
 LABELS = 'class="interactive",workspace="planners"'
 MEASUREMENTS = [
-    ("note_first_token", ("planners", Priority.INTERACTIVE, 0.3)),
-    ("note_between_tokens", ("planners", Priority.INTERACTIVE, 0.02)),
-    ("note_answered", ("planners", Priority.INTERACTIVE, 3.0)),
-    ("note_queued", ("planners", Priority.INTERACTIVE, 0.1)),
-    ("note_refused", (Code.QUEUE_FULL,)),
-    ("note_retry", (RetryCause.REFUSED,)),
-    ("note_recomputed", (RecomputeCause.RECLAIM, 500)),
-    ("note_chunk_fault", (ChunkFault.CROSSED,)),
-    ("note_cost", ("zaseki-model", "reclaimable", 0.25)),
+    ("record_first_token", ("planners", Priority.INTERACTIVE, 0.3)),
+    ("record_token_interval", ("planners", Priority.INTERACTIVE, 0.02)),
+    ("record_answer", ("planners", Priority.INTERACTIVE, 3.0)),
+    ("record_queueing", ("planners", Priority.INTERACTIVE, 0.1)),
+    ("record_refusal", (Code.QUEUE_FULL,)),
+    ("record_retry", (RetryCause.REFUSED,)),
+    ("record_recomputed", (RecomputeCause.RECLAIM, 500)),
+    ("record_chunk_fault", (ChunkFault.CROSSED,)),
+    ("record_cost", ("zaseki-model", "reclaimable", 0.25)),
 ]
 EXPECTED_LINES = {
-    "note_first_token": f"pepperstep_time_to_first_token_seconds_count{{{LABELS}}} 1.0",
-    "note_between_tokens": "pepperstep_time_between_tokens_seconds_sum"
+    "record_first_token": "pepperstep_time_to_first_token_seconds_count"
+    f"{{{LABELS}}} 1.0",
+    "record_token_interval": "pepperstep_time_between_tokens_seconds_sum"
     f"{{{LABELS}}} 0.02",
-    "note_answered": f"pepperstep_request_seconds_count{{{LABELS}}} 1.0",
-    "note_queued": f"pepperstep_queueing_seconds_sum{{{LABELS}}} 0.1",
-    "note_refused": 'pepperstep_refusals_total{code="queue_full"} 1.0',
-    "note_retry": 'pepperstep_retries_total{cause="refused"} 1.0',
-    "note_recomputed": 'pepperstep_recomputed_tokens_total{cause="reclaim"} 500.0',
-    "note_chunk_fault": 'pepperstep_chunk_faults_total{fault="crossed"} 1.0',
-    "note_cost": 'pepperstep_cost_total{deployment="zaseki-model",'
+    "record_answer": f"pepperstep_request_seconds_count{{{LABELS}}} 1.0",
+    "record_queueing": f"pepperstep_queueing_seconds_sum{{{LABELS}}} 0.1",
+    "record_refusal": 'pepperstep_refusals_total{code="queue_full"} 1.0',
+    "record_retry": 'pepperstep_retries_total{cause="refused"} 1.0',
+    "record_recomputed": 'pepperstep_recomputed_tokens_total{cause="reclaim"} 500.0',
+    "record_chunk_fault": 'pepperstep_chunk_faults_total{fault="crossed"} 1.0',
+    "record_cost": 'pepperstep_cost_total{deployment="zaseki-model",'
     'price_class="reclaimable"} 0.25',
 }
 
@@ -60,7 +61,7 @@
 
 
 def test_all_recorder_methods_are_tested():
-    names = {name for name in vars(Recorder) if name.startswith("note_")}
+    names = {name for name in vars(Recorder) if name.startswith("record_")}
     assert names == {method for method, _ in MEASUREMENTS}
 
 
