--- a/src/pepperstep/adapters/http1/connection.py
+++ b/src/pepperstep/adapters/http1/connection.py
@@ -130,7 +130,7 @@
             logging.info("http: A connection ended before its reset: %s.", error)
         self._sock.close()
 
-    async def wait_gone(self) -> None:
+    async def wait_disconnected(self) -> None:
         """Return once the caller has closed the connection."""
         await self._gone.wait()
 
--- a/src/pepperstep/adapters/http1/server.py
+++ b/src/pepperstep/adapters/http1/server.py
@@ -86,7 +86,7 @@
         try:
             await connection.run()
         except (OSError, CallerGone):
-            # The caller's end; what it waited for was told by `wait_gone`.
+            # The caller's end; what it waited for was told by `wait_disconnected`.
             connection.abort()
         except Exception:
             # One request's fault must not end the others.
--- a/src/pepperstep/entities/routes.py
+++ b/src/pepperstep/entities/routes.py
@@ -9,7 +9,7 @@
 
 __all__ = [
     "CallerLimits",
-    "EngineFacts",
+    "EngineCapacity",
     "Quota",
     "Repetition",
     "Route",
@@ -74,7 +74,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EngineFacts:
+class EngineCapacity:
     """Capacity of a service's model engines, as configured by the operators."""
 
     # Requests that one engine runs concurrently.
@@ -105,7 +105,7 @@
     health_path: str = ""
     # Connections that one upstream accepts from all hosts together, 0 for no limit.
     max_connections: int = 0
-    engine: EngineFacts | None = None
+    engine: EngineCapacity | None = None
     scaling: ScalingBounds | None = None
 
 
--- a/src/pepperstep/ports/exchange.py
+++ b/src/pepperstep/ports/exchange.py
@@ -98,7 +98,7 @@
     def abort(self) -> None:
         """Abort the connection, so that a partial answer can't look complete."""
 
-    async def wait_gone(self) -> None:
+    async def wait_disconnected(self) -> None:
         """Return once the caller has closed the connection."""
 
 
--- a/src/pepperstep/relay/relay.py
+++ b/src/pepperstep/relay/relay.py
@@ -185,7 +185,7 @@
         with self._timers.move_on_after(rest) as scope:
 
             async def cancel_when_gone() -> None:
-                await attempt.exchange.wait_gone()
+                await attempt.exchange.wait_disconnected()
                 scope.cancel()
 
             await run_beside(cancel_when_gone, partial(self._try_all, attempt))
