--- a/src/pepperstep/node.py
+++ b/src/pepperstep/node.py
@@ -127,7 +127,7 @@
         self.router = self._make_router()
         self.requests = self._make_requests(incarnation)
         self._fleet = self._make_fleet()
-        self._watch_gauges()
+        self._add_gauges()
         self.operations = Operations(
             self.host,
             ports.peers,
@@ -289,11 +289,11 @@
             policy=self._policies.fleet,
         )
 
-    def _watch_gauges(self) -> None:
-        watch = self.metrics.watch
-        watch("revision", "Revision in force.", lambda: self.store.revision)
-        watch("is_leader", "1 on the leader.", lambda: self.agreement.is_leader)
-        watch("in_flight", "Requests owned.", lambda: self.requests.running)
+    def _add_gauges(self) -> None:
+        add_gauge = self.metrics.add_gauge
+        add_gauge("revision", "Revision in force.", lambda: self.store.revision)
+        add_gauge("is_leader", "1 on the leader.", lambda: self.agreement.is_leader)
+        add_gauge("in_flight", "Requests owned.", lambda: self.requests.running)
 
     def _handle_upstream_change(self, change: UpstreamChange) -> None:
         """Move requests off an upstream that announces that it leaves."""
--- a/src/pepperstep/observability/metrics.py
+++ b/src/pepperstep/observability/metrics.py
@@ -92,7 +92,7 @@
             "cost", "Money spent on hosts", "deployment", "price_class"
         )
 
-    def watch(self, name: str, text: str, value: Callable[[], float]) -> None:
+    def add_gauge(self, name: str, text: str, value: Callable[[], float]) -> None:
         """Add a gauge whose value is read at each scrape.
 
         Every host has the gauges "revision", "is_leader" and "in_flight".
--- a/src/pepperstep/observability/relay_metrics.py
+++ b/src/pepperstep/observability/relay_metrics.py
@@ -61,7 +61,7 @@
         )
         self._series: set[tuple[str, str]] = set()
 
-    def watch(self, name: str, text: str, value) -> None:
+    def add_gauge(self, name: str, text: str, value) -> None:
         """Add a gauge whose value is read at each scrape."""
         gauge = Gauge(f"pepperstep_{name}", text, registry=self.registry)
         gauge.set_function(value)
--- a/src/pepperstep/programs/control_host.py
+++ b/src/pepperstep/programs/control_host.py
@@ -150,7 +150,7 @@
         self._leader_lease = Duty(
             settings.host, self.agreement, ports.timers, settings.bounds.duty_lease
         )
-        self._watch_gauges()
+        self._add_gauges()
         self._usage_reporter = self._make_usage_reporter(ports)
         self._autoscaler = self._make_autoscaler(ports)
 
@@ -219,14 +219,14 @@
     def _control_hosts(self) -> list[str]:
         return sorted({self._peer_name, *self.agreement.members()})
 
-    def _watch_gauges(self) -> None:
-        watch = self.metrics.watch
-        watch("routes_version", "In force.", lambda: self.tables.current.version)
-        watch("is_leader", "1 on the leader.", lambda: self.agreement.is_leader)
-        watch("term", "Term of the log.", lambda: self.agreement.term)
-        watch("entry_hosts", "In contact.", lambda: self.entries.count)
-        watch("control_hosts", "In reach.", lambda: len(self.sync.reached))
-        watch("upstreams", "That take work.", self.book.working_count)
+    def _add_gauges(self) -> None:
+        add_gauge = self.metrics.add_gauge
+        add_gauge("routes_version", "In force.", lambda: self.tables.current.version)
+        add_gauge("is_leader", "1 on the leader.", lambda: self.agreement.is_leader)
+        add_gauge("term", "Term of the log.", lambda: self.agreement.term)
+        add_gauge("entry_hosts", "In contact.", lambda: self.entries.count)
+        add_gauge("control_hosts", "In reach.", lambda: len(self.sync.reached))
+        add_gauge("upstreams", "That take work.", self.book.working_count)
 
     def _make_usage_reporter(self, ports: RelayPorts) -> UsageReporter | None:
         if ports.ledger is None:
--- a/src/pepperstep/programs/entry_host.py
+++ b/src/pepperstep/programs/entry_host.py
@@ -169,7 +169,7 @@
             ports.rng,
             self._accepts_streams,
         )
-        self._watch_gauges()
+        self._add_gauges()
         self.tables.subscribe(self._quotas.watch)
         self.sync.on_admitted = self._quotas.note_elsewhere
         self.sync.on_restart = self._quotas.note_restart
@@ -210,13 +210,13 @@
             self._leaving_since = self._timers.now()
             self.sync.ask_now()
 
-    def _watch_gauges(self) -> None:
-        watch = self.metrics.watch
-        watch("routes_version", "In force.", lambda: self.tables.current.version)
-        watch("control_hosts", "In reach.", lambda: len(self.sync.reached))
-        watch("upstreams", "That take work.", self.book.working_count)
-        watch("limited_upstreams", "That state a limit.", self.book.limited_count)
-        watch("ready", "1 if callers are told of it.", lambda: self.is_ready)
+    def _add_gauges(self) -> None:
+        add_gauge = self.metrics.add_gauge
+        add_gauge("routes_version", "In force.", lambda: self.tables.current.version)
+        add_gauge("control_hosts", "In reach.", lambda: len(self.sync.reached))
+        add_gauge("upstreams", "That take work.", self.book.working_count)
+        add_gauge("limited_upstreams", "That state a limit.", self.book.limited_count)
+        add_gauge("ready", "1 if callers are told of it.", lambda: self.is_ready)
 
     def _accepts_streams(self) -> bool:
         if self._leaving_since is None:
--- a/tests/observability/test_observability.py
+++ b/tests/observability/test_observability.py
@@ -68,7 +68,7 @@
 def test_gauge_is_read_at_each_scrape():
     metrics = Metrics()
     values = iter([7, 8])
-    metrics.watch("revision", "Revision in force", lambda: next(values))
+    metrics.add_gauge("revision", "Revision in force", lambda: next(values))
     assert b"pepperstep_revision 7.0" in metrics.render()
     assert b"pepperstep_revision 8.0" in metrics.render()
 
