--- a/src/pepperstep/requests/driver.py
+++ b/src/pepperstep/requests/driver.py
@@ -183,10 +183,10 @@
                 try:
                     return await self._attempt(run, placement, course)
                 except UpstreamRefused as error:
-                    placement.note_refused(error.retry_after)
+                    placement.record_refusal(error.retry_after)
                     raise
                 except UpstreamLost:
-                    placement.note_lost()
+                    placement.record_loss()
                     raise
         except (UpstreamFault, AttemptStopped) as error:
             self._log(run, placement, error)
@@ -263,7 +263,7 @@
                     if isinstance(chunk, EndMark):
                         check.check_end(chunk)
                         mark = chunk
-                        placement.note_answered(mark)
+                        placement.record_answer(mark)
                         return Outcome(finish=mark.finish)
                     active.heard_at = self._timers.now()
                     self._take(active, check, chunk, placement, course)
@@ -285,7 +285,7 @@
             return
         is_first = not run.tokens
         run.tokens.extend(tokens)
-        placement.note_tokens(len(tokens))
+        placement.record_tokens(len(tokens))
         self._journal.mark(run, is_urgent=is_first)
         if not course.is_suspect or course.is_strict:
             return
