--- a/src/pepperstep/relay/relay.py
+++ b/src/pepperstep/relay/relay.py
@@ -192,7 +192,7 @@
         with self._timers.move_on_after(remaining) as scope:
 
             async def cancel_when_gone() -> None:
-                await request.exchange.wait_gone()
+                await request.exchange.wait_disconnected()
                 scope.cancel()
 
             await run_beside(cancel_when_gone, partial(self._run_attempts, request))
--- a/src/pepperstep/requests/answer_check.py
+++ b/src/pepperstep/requests/answer_check.py
@@ -33,7 +33,7 @@
         if chunk.position == expected:
             return chunk.tokens
         if chunk.position > expected:
-            self._recorder.note_chunk_fault(ChunkFault.GAP)
+            self._recorder.record_chunk_fault(ChunkFault.GAP)
             raise UpstreamLost(f"Chunk at {chunk.position} where {expected} was due.")
         return self._drop_repeated(chunk, expected - chunk.position)
 
@@ -42,11 +42,11 @@
         self._check_attempt_id(mark.attempt_id)
         expected = len(self._tokens)
         if mark.count != expected:
-            self._recorder.note_chunk_fault(ChunkFault.GAP)
+            self._recorder.record_chunk_fault(ChunkFault.GAP)
             raise UpstreamLost(f"End mark counts {mark.count}, not {expected}.")
 
     def _drop_repeated(self, chunk: TokenChunk, repeated_count: int) -> tuple[str, ...]:
-        self._recorder.note_chunk_fault(ChunkFault.DOUBLED)
+        self._recorder.record_chunk_fault(ChunkFault.DOUBLED)
         start = chunk.position
         repeated = chunk.tokens[:repeated_count]
         if list(repeated) != self._tokens[start : start + len(repeated)]:
@@ -56,7 +56,7 @@
     def _check_attempt_id(self, attempt_id: str) -> None:
         if attempt_id == self._attempt_id:
             return
-        self._recorder.note_chunk_fault(self._fault_of(attempt_id))
+        self._recorder.record_chunk_fault(self._fault_of(attempt_id))
         raise UpstreamLost(f"Answer of {attempt_id} came to {self._attempt_id}.")
 
     def _fault_of(self, attempt_id: str) -> ChunkFault:
--- a/src/pepperstep/requests/driver.py
+++ b/src/pepperstep/requests/driver.py
@@ -140,7 +140,7 @@
         while True:
             queued_at = self._timers.now()
             placement = await self._placer.place(run, plan)
-            self._recorder.note_queued(
+            self._recorder.record_queueing(
                 run.request.workspace,
                 run.request.priority,
                 self._timers.now() - queued_at,
@@ -148,7 +148,7 @@
             upstream = placement.upstream
             plan.excluded.add(upstream.name)
             if plan.cause is not None:
-                self._recorder.note_retry(_RETRY_CAUSES[plan.cause])
+                self._recorder.record_retry(_RETRY_CAUSES[plan.cause])
             outcome = await self._try_placement(run, placement, plan)
             if outcome is not None:
                 return outcome
@@ -315,7 +315,7 @@
         elif len(active.run.tokens) > active.start and not order.imported_attempt:
             tokens = estimate_prompt_tokens(active.run.request) + active.start
         if tokens:
-            self._recorder.note_recomputed(_RECOMPUTE_CAUSES[cause], tokens)
+            self._recorder.record_recomputed(_RECOMPUTE_CAUSES[cause], tokens)
 
     async def _diagnose_loss(
         self, run: Run, upstream: Upstream, plan: AttemptPlan, start: int
