--- a/src/pepperstep/adapters/grpc_peers.py
+++ b/src/pepperstep/adapters/grpc_peers.py
@@ -1,4 +1,4 @@
-"""Peer network over gRPC: one stream of frames from each host to each other."""
+"""Peer network over gRPC: streams of frames or unary calls between hosts."""
 
 import threading
 from collections.abc import Iterator
@@ -20,31 +20,33 @@
 __all__ = ["GrpcPeers", "PeerCredentials"]
 
 _SERVICE = "pepperstep.Peer"
-_METHOD = "Exchange"
-_SINGLE_METHOD = "Call"
-# Each stream that another host opens keeps one thread; threads start as needed.
+_STREAM_METHOD = "Exchange"
+_UNARY_METHOD = "Call"
+# Size of the server's thread pool: each stream from another host occupies one thread.
 _MAX_STREAMS = 512
 _MAX_MESSAGE_BYTES = 64 * 1024 * 1024
-# Time without a call after which the connection to a peer is closed, in seconds, and
-# the time between looks for such: each has threads at both ends.
+# A connection without calls for this long is closed, because each connection keeps
+# threads at both ends.
 _IDLE_SECONDS = 20.0
-_LOOK_SECONDS = 5.0
+# Interval between searches for idle connections.
+_IDLE_CHECK_SECONDS = 5.0
 _OPTIONS = [
     ("grpc.max_receive_message_length", _MAX_MESSAGE_BYTES),
     ("grpc.max_send_message_length", _MAX_MESSAGE_BYTES),
     ("grpc.so_reuseport", 0),
-    # A host that returns must be reachable at once. Callers pause on their own
-    # between calls to a host that's gone.
+    # A host that restarts must be reachable at once. Callers back off on their own
+    # between calls to an unreachable host.
     ("grpc.initial_reconnect_backoff_ms", 100),
     ("grpc.max_reconnect_backoff_ms", 250),
-    # Time for one try to connect. The opening packet to a host without power is lost,
-    # and the system sends it again after a whole second only: after a loss of power
-    # everywhere, entry hosts had their routes 0.6 s after control hosts were there.
+    # Timeout of one connection attempt. A SYN to a host without power is lost, and the
+    # kernel resends it only after a second. After a power failure of all hosts, entry
+    # hosts had their routes 0.6 s after the control hosts were up.
     ("grpc.min_reconnect_backoff_ms", 300),
-    # A connection of its own for each channel, so that a new channel doesn't get
-    # the connection that went silent.
+    # Channels share no connections, so that a new channel doesn't reuse a connection
+    # that stopped answering.
     ("grpc.use_local_subchannel_pool", 1),
-    # A stream over a silent cut must break, not wait for the system's timeout.
+    # Keepalive pings break a stream whose packets are dropped silently, long before
+    # the kernel's TCP timeout.
     ("grpc.keepalive_time_ms", 10_000),
     ("grpc.keepalive_timeout_ms", 5_000),
     ("grpc.http2.max_pings_without_data", 0),
@@ -54,25 +56,25 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerCredentials:
-    """Certificate, key and authority in PEM, for mutual TLS."""
+    """Certificate, private key and CA certificate in PEM, for mutual TLS."""
 
     certificate: bytes
     key: bytes
     authority: bytes
 
     def for_server(self) -> grpc.ServerCredentials:
-        """Return credentials that ask the client for a certificate."""
+        """Return server credentials that require a client certificate."""
         return grpc.ssl_server_credentials(
             [(self.key, self.certificate)], self.authority, require_client_auth=True
         )
 
     def for_channel(self) -> grpc.ChannelCredentials:
-        """Return credentials that show this host's certificate."""
+        """Return channel credentials that present this host's certificate."""
         return grpc.ssl_channel_credentials(self.authority, self.key, self.certificate)
 
 
 class GrpcPeers:
-    """Peer network of the host `name`."""
+    """Sends messages from host `name` to its peers and serves theirs."""
 
     def __init__(
         self, name: str, address: str, credentials: PeerCredentials | None = None
@@ -88,57 +90,65 @@
         self._token: trio.lowlevel.TrioToken | None = None
         self._nursery: trio.Nursery | None = None
         self._is_serving = False
-        # When idle connections were looked for.
-        self._looked_at = 0.0
+        self._idle_checked_at = 0.0
 
     def set_address(self, peer: str, address: str) -> None:
-        """Say where `peer` listens."""
+        """Set the address of `peer`; a new one closes the connection to the old."""
         if self._addresses.get(peer) == address:
             return
         self._addresses[peer] = address
         self._close(peer)
 
     def handle(self, message_type: type[Message], handler: Handler) -> None:
-        """Register the one handler for `message_type`."""
+        """Register the handler for `message_type`, replacing any earlier one."""
         self._handlers[message_type] = handler
 
     async def call(self, peer: str, message: Message, timeout: float) -> Message:
-        """Return the answer of `peer`, or raise `Failure`."""
+        """Send `message` on the stream to `peer` and return the answer.
+
+        Raise `Failure`, with `PEER_UNREACHABLE` after `timeout` seconds.
+        """
         self._close_idle()
         stream = self._stream_to(peer)
         try:
             answer = await stream.call(codec.encode(message, self._name), timeout)
         except Failure:
             if stream.is_silent:
-                self._drop(peer, stream)
+                self._close_silent(peer, stream)
             raise
         return codec.decode(answer)[0]
 
     async def call_single(self, peer: str, message: Message, timeout: float) -> Message:
-        """Return the answer of `peer`, or raise `Failure`."""
+        """Send `message` to `peer` as a unary call and return the answer.
+
+        Raise `Failure`, with `PEER_UNREACHABLE` after `timeout` seconds.
+        """
         self._close_idle()
-        calls = self._calls_to(peer)
+        calls = self._get_calls(peer)
         try:
             answer = await calls.call(codec.encode(message, self._name), timeout)
         except Failure:
             if calls.is_silent and self._calls.get(peer) is calls:
-                logging.info("peers: %s is silent; its connection is closed.", peer)
+                logging.info("peers: %s does not answer; closing connection.", peer)
                 self._close(peer)
             raise
         return codec.decode(answer)[0]
 
-    def _drop(self, peer: str, stream: PeerStream) -> None:
-        """Close a stream with its connection, so that the next call opens new ones."""
+    def _close_silent(self, peer: str, stream: PeerStream) -> None:
+        """Close the connection of `stream` unless it has been replaced already.
+
+        The next call opens a new connection and stream.
+        """
         if self._streams.get(peer) is not stream:
             return
-        logging.info("peers: %s is silent; its connection is closed.", peer)
+        logging.info("peers: %s does not answer; closing connection.", peer)
         self._close(peer)
 
     def _close_idle(self) -> None:
         now = trio.current_time()
-        if now - self._looked_at < _LOOK_SECONDS:
+        if now - self._idle_checked_at < _IDLE_CHECK_SECONDS:
             return
-        self._looked_at = now
+        self._idle_checked_at = now
         for peer in list(self._channels):
             uses = (self._streams.get(peer), self._calls.get(peer))
             if all(each is None or each.is_idle(_IDLE_SECONDS) for each in uses):
@@ -154,9 +164,9 @@
             channel.close()
 
     async def serve(self, task_status=trio.TASK_STATUS_IGNORED) -> None:
-        """Take calls until cancelled.
+        """Serve calls until cancelled.
 
-        Raise OSError if the address is taken.
+        Raise OSError if the address can't be bound.
         """
         self._token = trio.lowlevel.current_trio_token()
         server = self._make_server()
@@ -169,7 +179,7 @@
                 try:
                     await trio.sleep_forever()
                 finally:
-                    # A closed nursery takes no more handlers.
+                    # A closed nursery can't start handlers; gRPC threads may still ask.
                     self._is_serving = False
         finally:
             server.stop(grace=0)
@@ -183,8 +193,8 @@
             futures.ThreadPoolExecutor(_MAX_STREAMS, "peer"), options=_OPTIONS
         )
         methods = {
-            _METHOD: grpc.stream_stream_rpc_method_handler(self._serve_stream),
-            _SINGLE_METHOD: grpc.unary_unary_rpc_method_handler(self._serve_single),
+            _STREAM_METHOD: grpc.stream_stream_rpc_method_handler(self._serve_stream),
+            _UNARY_METHOD: grpc.unary_unary_rpc_method_handler(self._serve_unary),
         }
         service = grpc.method_handlers_generic_handler(_SERVICE, methods)
         server.add_generic_rpc_handlers((service,))
@@ -203,24 +213,24 @@
         stream = self._streams.get(peer)
         if stream is not None and not stream.is_broken:
             return stream
-        method = self._channel_to(peer).stream_stream(f"/{_SERVICE}/{_METHOD}")
+        method = self._get_channel(peer).stream_stream(f"/{_SERVICE}/{_STREAM_METHOD}")
         self._streams[peer] = PeerStream(peer, method)
         return self._streams[peer]
 
-    def _calls_to(self, peer: str) -> PeerCalls:
+    def _get_calls(self, peer: str) -> PeerCalls:
         if peer not in self._calls:
-            channel = self._channel_to(peer)
-            method = channel.unary_unary(f"/{_SERVICE}/{_SINGLE_METHOD}")
+            channel = self._get_channel(peer)
+            method = channel.unary_unary(f"/{_SERVICE}/{_UNARY_METHOD}")
             self._calls[peer] = PeerCalls(peer, method)
         return self._calls[peer]
 
-    def _channel_to(self, peer: str) -> grpc.Channel:
+    def _get_channel(self, peer: str) -> grpc.Channel:
         if peer not in self._channels:
-            self._channels[peer] = self._open_channel(self._address_of(peer))
+            self._channels[peer] = self._open_channel(self._get_address(peer))
         return self._channels[peer]
 
-    def _address_of(self, peer: str) -> str:
-        """Return where a peer listens; one that was never told is its own address."""
+    def _get_address(self, peer: str) -> str:
+        """Return the address of a peer, its name if no address was set."""
         address = self._addresses.get(peer, peer)
         if ":" not in address:
             raise Failure(Code.PEER_UNREACHABLE, f"{peer} has no known address.")
@@ -236,46 +246,46 @@
     def _serve_stream(
         self, requests: Iterator[bytes], context: grpc.ServicerContext
     ) -> Iterator[bytes]:
-        """Answer the frames of one stream, in a thread of the server."""
+        """Serve the frames of one stream; runs in a thread of the server."""
         answers = FrameQueue()
         threading.Thread(
             target=self._read_requests, args=(requests, answers), daemon=True
         ).start()
         return answers.batches()
 
-    def _serve_single(self, data: bytes, context: grpc.ServicerContext) -> bytes:
-        """Answer one call, in a thread of the server."""
+    def _serve_unary(self, data: bytes, context: grpc.ServicerContext) -> bytes:
+        """Serve one unary call; runs in a thread of the server."""
         slot = AnswerSlot()
-        self._token.run_sync_soon(self._start_single, data, slot)
+        self._token.run_sync_soon(self._start_unary_handler, data, slot)
         answer = slot.wait()
         if answer is None:
             context.abort(grpc.StatusCode.UNAVAILABLE, "no answer")
         return answer
 
-    def _start_single(self, data: bytes, slot: AnswerSlot) -> None:
+    def _start_unary_handler(self, data: bytes, slot: AnswerSlot) -> None:
         if self._is_serving:
-            self._nursery.start_soon(self._answer_single, data, slot)
+            self._nursery.start_soon(self._answer_unary, data, slot)
 
-    async def _answer_single(self, data: bytes, slot: AnswerSlot) -> None:
+    async def _answer_unary(self, data: bytes, slot: AnswerSlot) -> None:
         slot.put(await self._handle_message(data))
 
     def _read_requests(self, requests: Iterator[bytes], answers: FrameQueue) -> None:
         try:
             for data in requests:
                 frames = Frames.FromString(data).frames
-                self._token.run_sync_soon(self._start_handlers, frames, answers)
+                self._token.run_sync_soon(self._start_frame_handlers, frames, answers)
         except Exception:
-            # gRPC raises a bare Exception when a stream is cut.
-            logging.info("peers: A stream ended.")
+            # gRPC raises a bare Exception when a stream breaks.
+            logging.info("peers: A stream from a peer was closed.")
         answers.close()
 
-    def _start_handlers(self, frames: list[Frame], answers: FrameQueue) -> None:
+    def _start_frame_handlers(self, frames: list[Frame], answers: FrameQueue) -> None:
         if not self._is_serving:
             return
         for frame in frames:
-            self._nursery.start_soon(self._answer, frame, answers)
+            self._nursery.start_soon(self._answer_frame, frame, answers)
 
-    async def _answer(self, frame: Frame, answers: FrameQueue) -> None:
+    async def _answer_frame(self, frame: Frame, answers: FrameQueue) -> None:
         answer = await self._handle_message(frame.envelope)
         answers.put(Frame(call=frame.call, envelope=answer))
 
@@ -291,7 +301,7 @@
         except Failure as failure:
             return codec.encode_failure(failure, self._name)
         except Exception:
-            logging.exception("peers: Handler failed.")
+            logging.exception("peers: A message handler raised an exception.")
             failure = Failure(Code.INTERNAL, "The handler failed.")
             return codec.encode_failure(failure, self._name)
         return codec.encode(answer, self._name)
--- a/src/pepperstep/adapters/peer_calls.py
+++ b/src/pepperstep/adapters/peer_calls.py
@@ -1,7 +1,7 @@
-"""Single gRPC calls to peers: no thread waits for those that aren't called.
+"""Unary gRPC calls to peers.
 
-A stream costs less for each message, but keeps two threads at both ends. A host that
-calls many others now and then uses these.
+A stream costs less per message, but occupies two threads at each end. Unary calls
+occupy none while idle, so they suit a host that calls many peers rarely.
 """
 
 import queue
@@ -15,52 +15,55 @@
 
 __all__ = ["AnswerSlot", "PeerCalls"]
 
-# Calls in a row without any answer after which a channel has gone silent.
+# Consecutive calls without an answer after which a channel counts as silent.
 _SILENT_CALLS = 3
-# Longest time for which a thread of the server waits for a handler, in seconds.
+# Longest time that a server thread waits for a handler.
 _HANDLER_SECONDS = 10.0
 
 
 class AnswerSlot:
-    """An answer that a thread of the server waits for."""
+    """Passes one answer from the trio loop to a waiting server thread."""
 
     def __init__(self) -> None:
         self._queue: queue.SimpleQueue[bytes] = queue.SimpleQueue()
 
     def put(self, answer: bytes) -> None:
-        """Let the thread go on."""
+        """Set the answer and wake the waiting thread."""
         self._queue.put(answer)
 
     def wait(self) -> bytes | None:
-        """Return the answer, None without one in time."""
+        """Block until the answer is set; return None after `_HANDLER_SECONDS`."""
         try:
             return self._queue.get(timeout=_HANDLER_SECONDS)
         except queue.Empty:
-            logging.info("peers: A handler doesn't end; its caller gets no answer.")
+            logging.info("peers: A handler timed out; the caller gets no answer.")
             return None
 
 
 class PeerCalls:
-    """Calls over one channel; `is_silent` once several in a row had no answer."""
+    """Unary calls over one channel to a peer."""
 
     def __init__(self, peer: str, method: Callable[..., grpc.Future]):
         self._peer = peer
         self._method = method
-        self._unanswered = 0
-        self._called_at = trio.current_time()
+        self._unanswered_calls = 0
+        self._last_call_at = trio.current_time()
 
     @property
     def is_silent(self) -> bool:
-        """Whether the latest calls all had no answer."""
-        return self._unanswered >= _SILENT_CALLS
+        """Whether the last `_SILENT_CALLS` calls all got no answer."""
+        return self._unanswered_calls >= _SILENT_CALLS
 
     def is_idle(self, seconds: float) -> bool:
-        """Whether no call was made for so long."""
-        return trio.current_time() - self._called_at > seconds
+        """Whether the last call was made more than `seconds` ago."""
+        return trio.current_time() - self._last_call_at > seconds
 
     async def call(self, data: bytes, timeout: float) -> bytes:
-        """Return the peer's answer, or raise `Failure` with `PEER_UNREACHABLE`."""
-        self._called_at = trio.current_time()
+        """Send `data` and return the answer.
+
+        Raise `Failure` with `PEER_UNREACHABLE` if there is none in `timeout` seconds.
+        """
+        self._last_call_at = trio.current_time()
         token = trio.lowlevel.current_trio_token()
         done = trio.Event()
         future = self._method.future(data, timeout=timeout)
@@ -70,16 +73,16 @@
                 await done.wait()
         finally:
             future.cancel()
-        return self._take(future)
+        return self._result_of(future)
 
-    def _take(self, future: grpc.Future) -> bytes:
+    def _result_of(self, future: grpc.Future) -> bytes:
         try:
             answer = future.result(timeout=0)
         except (grpc.RpcError, grpc.FutureCancelledError, grpc.FutureTimeoutError):
-            self._unanswered += 1
+            self._unanswered_calls += 1
             text = f"{self._peer} doesn't answer a single call."
             raise Failure(Code.PEER_UNREACHABLE, text) from None
-        self._unanswered = 0
+        self._unanswered_calls = 0
         return answer
 
 
@@ -87,5 +90,5 @@
     try:
         token.run_sync_soon(function)
     except trio.RunFinishedError:
-        # The caller is gone.
+        # The trio loop has ended, and the caller with it.
         return
--- a/src/pepperstep/adapters/peer_streams.py
+++ b/src/pepperstep/adapters/peer_streams.py
@@ -1,8 +1,8 @@
-"""Calls to one peer over one gRPC stream, with many calls under way at a time.
+"""Concurrent calls to one peer, multiplexed over one gRPC stream.
 
-A stream costs a fraction of a unary call for each message, and what is due at
-the same time goes out together. Threads of their own wait on gRPC; the trio
-loop never does.
+A message on a stream costs a fraction of a unary call, and frames that are
+queued at the same time are sent as one batch. Dedicated threads block on gRPC,
+so the trio loop never does.
 """
 
 import itertools
@@ -20,27 +20,27 @@
 __all__ = ["FrameQueue", "PeerStream"]
 
 _MAX_BATCH_BYTES = 1024 * 1024
-# A stream on which calls run out of time for so long without any answer has
-# gone silent, in seconds: twice the timeout of the most frequent calls.
+# A stream whose calls time out counts as silent after this time without any answer.
+# Twice the timeout of the most frequent calls.
 _SILENCE_SECONDS = 1.0
 
 
 class FrameQueue:
-    """Frames that wait to be sent by a thread; `close` ends the sending."""
+    """Thread-safe queue of frames to send, consumed by a gRPC thread."""
 
     def __init__(self) -> None:
         self._queue: queue.SimpleQueue[Frame | None] = queue.SimpleQueue()
 
     def put(self, frame: Frame) -> None:
-        """Send a frame."""
+        """Queue a frame."""
         self._queue.put(frame)
 
     def close(self) -> None:
-        """End the sending."""
+        """End `batches` once the queued frames are sent."""
         self._queue.put(None)
 
     def batches(self) -> Iterator[bytes]:
-        """Yield what is due, as encoded `Frames`; wait while there is nothing."""
+        """Yield the queued frames as encoded `Frames`; block while there are none."""
         while True:
             frame = self._queue.get()
             frames = []
@@ -57,8 +57,8 @@
                 return
 
 
-class _Pending:
-    """A call without an answer yet."""
+class _PendingCall:
+    """A call that waits for its answer."""
 
     def __init__(self) -> None:
         self.done = trio.Event()
@@ -67,44 +67,46 @@
 
 
 class PeerStream:
-    """One stream to a peer; once broken it fails all its calls and stays so."""
+    """One stream to a peer; a broken stream fails its calls and is never reopened."""
 
     def __init__(self, peer: str, method: grpc.StreamStreamMultiCallable):
         self._peer = peer
         self._token = trio.lowlevel.current_trio_token()
-        self._numbers = itertools.count(1)
-        self._pending: dict[int, _Pending] = {}
+        self._call_numbers = itertools.count(1)
+        self._pending: dict[int, _PendingCall] = {}
         self._frames = FrameQueue()
         self.is_broken = False
-        # Time of the last answer, or of the first call since then.
-        self._heard_at = trio.current_time()
-        self._called_at = self._heard_at
-        self._call = method(self._frames.batches())
-        threading.Thread(target=self._read, name=f"to-{peer}", daemon=True).start()
+        # Time of the last answer, or of the first call after an idle period.
+        self._answered_at = trio.current_time()
+        self._last_call_at = self._answered_at
+        self._grpc_call = method(self._frames.batches())
+        threading.Thread(
+            target=self._read_answers, name=f"to-{peer}", daemon=True
+        ).start()
 
     @property
     def is_silent(self) -> bool:
-        """Whether calls get no answer though the stream isn't broken."""
+        """Whether the stream isn't broken but its calls get no answers."""
         if self.is_broken:
             return False
-        return trio.current_time() - self._heard_at > _SILENCE_SECONDS
+        return trio.current_time() - self._answered_at > _SILENCE_SECONDS
 
     def is_idle(self, seconds: float) -> bool:
-        """Whether no call was made for so long, and none is under way."""
+        """Whether no call is pending and the last was made over `seconds` ago."""
         has_pending = bool(self._pending)
-        return not has_pending and trio.current_time() - self._called_at > seconds
+        return not has_pending and trio.current_time() - self._last_call_at > seconds
 
     async def call(self, data: bytes, timeout: float) -> bytes:
-        """Return the peer's answer.
+        """Send `data` and return the answer.
 
         Raise `Failure` with `PEER_UNREACHABLE` after `timeout` seconds, or when
         the stream breaks.
         """
-        number = next(self._numbers)
-        pending = _Pending()
-        self._called_at = trio.current_time()
+        number = next(self._call_numbers)
+        pending = _PendingCall()
+        self._last_call_at = trio.current_time()
         if not self._pending:
-            self._heard_at = trio.current_time()
+            self._answered_at = trio.current_time()
         self._pending[number] = pending
         self._frames.put(Frame(call=number, envelope=data))
         try:
@@ -120,23 +122,23 @@
         return pending.answer
 
     def close(self) -> None:
-        """End the stream; its calls fail."""
+        """Cancel the stream; its pending calls fail."""
         self._frames.close()
-        self._call.cancel()
-        self._break("the connection was closed")
+        self._grpc_call.cancel()
+        self._mark_broken("the connection was closed")
 
-    def _read(self) -> None:
+    def _read_answers(self) -> None:
         reason = "the stream ended"
         try:
-            for data in self._call:
-                self._run_in_loop(self._take, Frames.FromString(data).frames)
+            for data in self._grpc_call:
+                self._run_in_loop(self._receive_answers, Frames.FromString(data).frames)
         except grpc.RpcError as error:
             reason = error.code().name
         except DecodeError:
             reason = "its answers can't be decoded"
-            self._call.cancel()
+            self._grpc_call.cancel()
         self._frames.close()
-        self._run_in_loop(self._break, reason)
+        self._run_in_loop(self._mark_broken, reason)
 
     def _run_in_loop(self, function: Callable, argument: object) -> None:
         try:
@@ -144,15 +146,15 @@
         except trio.RunFinishedError:
             return
 
-    def _take(self, frames: Iterable[Frame]) -> None:
-        self._heard_at = trio.current_time()
+    def _receive_answers(self, frames: Iterable[Frame]) -> None:
+        self._answered_at = trio.current_time()
         for frame in frames:
             pending = self._pending.get(frame.call)
             if pending is not None:
                 pending.answer = frame.envelope
                 pending.done.set()
 
-    def _break(self, reason: str) -> None:
+    def _mark_broken(self, reason: str) -> None:
         self.is_broken = True
         for pending in self._pending.values():
             pending.error = reason
--- a/tests/adapters/test_grpc_peers.py
+++ b/tests/adapters/test_grpc_peers.py
@@ -1,4 +1,4 @@
-"""Peer network over real sockets of this machine."""
+"""`GrpcPeers` over loopback sockets: error codes, reconnects and idle connections."""
 
 import threading
 from contextlib import AsyncExitStack, asynccontextmanager
@@ -12,7 +12,7 @@
 from pepperstep.errors import Code, Failure
 from pepperstep.proto.journal_pb2 import CancelDone, CancelRequest
 
-LONG = 20.0
+LONG_TIMEOUT = 20.0
 
 
 @asynccontextmanager
@@ -37,8 +37,8 @@
 @pytest.mark.parametrize(
     ("request_id", "timeout", "code"),
     [
-        ("refuse", LONG, Code.FENCED),
-        ("break", LONG, Code.INTERNAL),
+        ("refuse", LONG_TIMEOUT, Code.FENCED),
+        ("break", LONG_TIMEOUT, Code.INTERNAL),
         ("wait", 0.05, Code.PEER_UNREACHABLE),
     ],
 )
@@ -49,34 +49,36 @@
         second.handle(CancelRequest, answer)
         first.set_address("two", f"127.0.0.1:{two}")
         call = first.call_single if is_single else first.call
-        reply = await call("two", CancelRequest(request_id="one"), LONG)
+        reply = await call("two", CancelRequest(request_id="one"), LONG_TIMEOUT)
         assert reply.is_found
         with pytest.raises(Failure) as raised:
             await call("two", CancelRequest(request_id=request_id), timeout)
     assert raised.value.code == code
 
 
-async def test_a_slow_handler_holds_nobody_up():
+async def test_slow_handler_does_not_block_other_calls():
     one, two = free_ports(2)
     async with serving("one", one) as first, serving("two", two) as second:
         second.handle(CancelRequest, answer)
         first.set_address("two", f"127.0.0.1:{two}")
         async with trio.open_nursery() as nursery:
             waiting = CancelRequest(request_id="wait")
-            nursery.start_soon(first.call, "two", waiting, LONG)
+            nursery.start_soon(first.call, "two", waiting, LONG_TIMEOUT)
             for _ in range(100):
-                done = await first.call("two", CancelRequest(request_id="one"), LONG)
+                done = await first.call(
+                    "two", CancelRequest(request_id="one"), LONG_TIMEOUT
+                )
                 assert done.is_found
             nursery.cancel_scope.cancel()
 
 
-async def test_calls_work_again_after_the_peer_started_again():
+async def test_calls_succeed_after_peer_restart():
     one, two = free_ports(2)
     message = CancelRequest(request_id="one")
     async with serving("one", one) as first:
         first.set_address("two", f"127.0.0.1:{two}")
         with pytest.raises(Failure):
-            await first.call("two", message, LONG)
+            await first.call("two", message, LONG_TIMEOUT)
         for _ in range(2):
             async with serving("two", two) as second:
                 second.handle(CancelRequest, answer)
@@ -84,24 +86,27 @@
                     await trio.sleep(0.01)
             with pytest.raises(Failure):
                 while True:
-                    await first.call("two", message, LONG)
+                    await first.call("two", message, LONG_TIMEOUT)
 
 
 async def _is_answered(peers: GrpcPeers, message: CancelRequest) -> bool:
     try:
-        return (await peers.call("two", message, LONG)).is_found
+        return (await peers.call("two", message, LONG_TIMEOUT)).is_found
     except Failure:
         return False
 
 
-async def test_a_connection_that_does_not_open_is_tried_again(monkeypatch):
-    """As to a host that had no power for its opening packet."""
-    # Silent streams aren't what ends it: that takes longer.
+async def test_connection_attempt_without_answer_is_retried(monkeypatch):
+    """A connection attempt whose SYN is lost must soon be retried.
+
+    A host without power loses the SYN, and gRPC's default attempt lasts 20 s.
+    """
+    # Rules out that the silence timeout closes the connection.
     monkeypatch.setattr("pepperstep.adapters.peer_streams._SILENCE_SECONDS", 60.0)
-    one, two, between = free_ports(3)
+    one, two, proxy_port = free_ports(3)
     streams = []
 
-    async def swallow_first(stream: trio.SocketStream) -> None:
+    async def forward_all_but_first(stream: trio.SocketStream) -> None:
         streams.append(stream)
         if len(streams) == 1:
             await trio.sleep_forever()
@@ -117,10 +122,10 @@
         serving("two", two) as second,
     ):
         second.handle(CancelRequest, answer)
-        listeners = await trio.open_tcp_listeners(between, host="127.0.0.1")
-        nursery.start_soon(trio.serve_listeners, swallow_first, listeners)
-        first.set_address("two", f"127.0.0.1:{between}")
-        # Without it, the first try lasts 20 s.
+        listeners = await trio.open_tcp_listeners(proxy_port, host="127.0.0.1")
+        nursery.start_soon(trio.serve_listeners, forward_all_but_first, listeners)
+        first.set_address("two", f"127.0.0.1:{proxy_port}")
+        # With gRPC's default, the first connection attempt lasts 20 s.
         with trio.fail_after(15.0):
             while not await _is_answered(first, message):
                 await trio.sleep(0.01)
@@ -132,10 +137,10 @@
         await target.send_all(data)
 
 
-async def test_connections_without_calls_are_closed(monkeypatch):
-    """Each has threads at both ends, and a host may call many others one day."""
+async def test_idle_connections_are_closed(monkeypatch):
+    """An idle connection keeps threads at both ends, so it must be closed."""
     monkeypatch.setattr(grpc_peers, "_IDLE_SECONDS", 0.2)
-    monkeypatch.setattr(grpc_peers, "_LOOK_SECONDS", 0.0)
+    monkeypatch.setattr(grpc_peers, "_IDLE_CHECK_SECONDS", 0.0)
     one, *others = free_ports(6)
     async with AsyncExitStack() as stack:
         first = await stack.enter_async_context(serving("one", one))
@@ -143,15 +148,15 @@
             peer = await stack.enter_async_context(serving(f"peer{number}", port))
             peer.handle(CancelRequest, answer)
             first.set_address(f"peer{number}", f"127.0.0.1:{port}")
-            await first.call(f"peer{number}", CancelRequest(), LONG)
+            await first.call(f"peer{number}", CancelRequest(), LONG_TIMEOUT)
         assert len(reading_threads()) == 5
         await trio.sleep(0.3)
-        await first.call("peer0", CancelRequest(), LONG)
-        with trio.fail_after(LONG):
+        await first.call("peer0", CancelRequest(), LONG_TIMEOUT)
+        with trio.fail_after(LONG_TIMEOUT):
             while reading_threads() != ["to-peer0"]:
                 await trio.sleep(0.05)
-        # They are opened again when they are needed.
-        await first.call("peer3", CancelRequest(), LONG)
+        # A call reopens a closed connection.
+        await first.call("peer3", CancelRequest(), LONG_TIMEOUT)
 
 
 def reading_threads() -> list[str]:
@@ -159,8 +164,11 @@
     return sorted(name for name in names if name.startswith("to-peer"))
 
 
-async def test_single_calls_leave_no_threads_behind():
-    """With a stream to each of many peers, two threads waited at both ends."""
+async def test_unary_calls_leave_no_threads():
+    """Unary calls to many peers must not keep a thread for each.
+
+    A stream to each peer occupied two threads at each end.
+    """
     one, *others = free_ports(9)
     async with AsyncExitStack() as stack:
         first = await stack.enter_async_context(serving("one", one))
@@ -170,14 +178,14 @@
             peer.handle(CancelRequest, answer)
             first.set_address(f"peer{number}", f"127.0.0.1:{port}")
             for _ in range(5):
-                await first.call_single(f"peer{number}", CancelRequest(), LONG)
-        with trio.fail_after(LONG):
-            # A server keeps the thread that has answered, and one that serves.
+                await first.call_single(f"peer{number}", CancelRequest(), LONG_TIMEOUT)
+        with trio.fail_after(LONG_TIMEOUT):
+            # Each server keeps one pool thread and one serving thread.
             while threading.active_count() > before + 2 * len(others) + 2:
                 await trio.sleep(0.05)
 
 
-async def test_single_calls_reach_a_peer_that_comes_back():
+async def test_unary_calls_succeed_after_peer_restart():
     one, two = free_ports(2)
     async with serving("one", one) as first:
         first.set_address("two", f"127.0.0.1:{two}")
