--- a/src/pepperstep/adapters/grpc_peers.py
+++ b/src/pepperstep/adapters/grpc_peers.py
@@ -109,7 +109,7 @@
         Raise `Failure`, with `PEER_UNREACHABLE` after `timeout` seconds.
         """
         self._close_idle()
-        stream = self._stream_to(peer)
+        stream = self._get_stream(peer)
         try:
             answer = await stream.call(codec.encode(message, self._name), timeout)
         except Failure:
@@ -209,7 +209,7 @@
         except RuntimeError as error:
             raise OSError(f"Can't listen on {self._address}.") from error
 
-    def _stream_to(self, peer: str) -> PeerStream:
+    def _get_stream(self, peer: str) -> PeerStream:
         stream = self._streams.get(peer)
         if stream is not None and not stream.is_broken:
             return stream
