--- a/src/pepperstep/adapters/http1/__init__.py
+++ b/src/pepperstep/adapters/http1/__init__.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 on trio's sockets, by h11: a server, and connections to upstreams.
+"""HTTP/1.1 over trio sockets with h11: a server, and connections to upstreams.
 
-Both pass messages on whole and unchanged, and see what a client library
-hides: stray bytes behind an answer, and how a connection ended.
+Both pass messages through unchanged and see what an HTTP client library hides:
+extra bytes after a response, and how a connection was closed.
 """
 
 from pepperstep.adapters.http1.client import Http1Connector
--- a/src/pepperstep/adapters/http1/client.py
+++ b/src/pepperstep/adapters/http1/client.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams, each of which carries one request at a time."""
+"""HTTP/1.1 connections to upstreams, each with one request at a time."""
 
 import select
 import socket
@@ -13,30 +13,35 @@
 
 __all__ = ["Http1Connector"]
 
-# One read of a connection, in bytes.
+# Largest read from a socket.
 _READ_BYTES = 65_536
-# Time for the upstream's host to acknowledge what was sent, in milliseconds. It
-# is some milliseconds away, and a lost packet is sent again after 200 ms: more
-# silence means that the host, or the connection, is gone.
-_SILENCE_MILLISECONDS = 1_000
-# Head of an answer, in bytes.
+# TCP_USER_TIMEOUT: how long sent data may stay unacknowledged. The round trip takes
+# a few milliseconds and a lost packet is resent after 200 ms, so a longer silence
+# means that the host or the connection is lost.
+_UNACKNOWLEDGED_MILLISECONDS = 1_000
+# Largest status line and headers of an answer.
 _MAX_HEAD_BYTES = 65_536
 
 
 class Http1Connector:
-    """Opens connections; `now` gives the monotonic time."""
+    """Opens connections to upstreams; `now` returns the monotonic time."""
 
     def __init__(self, now: Callable[[], float]):
         self._now = now
 
     async def connect(self, address: str, timeout: float) -> "_Connection":
-        """Return a new connection to host:port."""
+        """Return a new connection to `address` (host:port).
+
+        Raise `ConnectionFault` if it isn't established within `timeout` seconds.
+        """
         host, _, port = address.rpartition(":")
         sock = trio.socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             sock.setsockopt(
-                socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _SILENCE_MILLISECONDS
+                socket.IPPROTO_TCP,
+                socket.TCP_USER_TIMEOUT,
+                _UNACKNOWLEDGED_MILLISECONDS,
             )
             with trio.fail_after(timeout):
                 await sock.connect((host, int(port)))
@@ -50,13 +55,13 @@
 
 
 class _Connection:
-    """A connection to one upstream."""
+    """A persistent connection to one upstream."""
 
     def __init__(self, sock: trio.socket.SocketType, now: Callable[[], float]):
         self._sock = sock
         self._now = now
         self._protocol = _new_protocol()
-        self._rest = memoryview(b"")
+        self._unsent = memoryview(b"")
         self._is_broken = False
         self.idle_since = now()
 
@@ -73,15 +78,15 @@
         if body:
             data += self._protocol.send(h11.Data(body))
         data += self._protocol.send(h11.EndOfMessage())
-        self._rest = memoryview(data)
-        await self._send_now()
-        if not self._rest:
+        self._unsent = memoryview(data)
+        await self._send_available()
+        if not self._unsent:
             return await self._read_head()
-        # The upstream may answer before it has read all.
-        return await run_beside(self._send_rest, self._read_head)
+        # The upstream may answer before it has read the whole request.
+        return await run_beside(self._send_remaining, self._read_head)
 
     async def pieces(self) -> AsyncIterator[bytes]:
-        """Yield the answer's body."""
+        """Yield the answer's body; raise `ConnectionFault` if it is incomplete."""
         while True:
             event = await self._next_event()
             if isinstance(event, h11.Data):
@@ -90,14 +95,18 @@
                 self.idle_since = self._now()
                 return
             else:
-                raise self._fault("the answer broke off")
+                raise self._mark_broken("the answer broke off")
 
     async def skip_answer(self) -> AnswerHead:
-        """Read over the present answer and return the head of the next."""
+        """Discard the rest of this answer and return the head of the next one.
+
+        No request is sent for the next answer. A placeholder request brings a new
+        h11 state machine into the state in which it expects an answer.
+        """
         async for _ in self.pieces():
             pass
-        if self._protocol.their_state is not h11.DONE or self._rest:
-            raise self._fault("no answer can follow")
+        if self._protocol.their_state is not h11.DONE or self._unsent:
+            raise self._mark_broken("no answer can follow")
         data, _ = self._protocol.trailing_data
         self._protocol = _new_protocol()
         request = h11.Request(method=b"GET", target=b"/", headers=[(b"host", b"-")])
@@ -108,42 +117,42 @@
         return await self._read_head()
 
     def is_reusable(self) -> bool:
-        """Whether another request may be sent."""
-        if self._is_broken or self._rest or self._sock.fileno() < 0:
+        """Whether another request may be sent on this connection."""
+        if self._is_broken or self._unsent or self._sock.fileno() < 0:
             return False
         protocol = self._protocol
         if protocol.our_state is h11.IDLE:
-            return self._is_quiet()
+            return self._has_no_input()
         if protocol.our_state is not h11.DONE or protocol.their_state is not h11.DONE:
             return False
-        return not protocol.trailing_data[0] and self._is_quiet()
+        return not protocol.trailing_data[0] and self._has_no_input()
 
     def close(self) -> None:
-        """Close the connection; a task that uses it gets a `ConnectionFault`."""
+        """Close the connection; concurrent reads and sends raise `ConnectionFault`."""
         self._is_broken = True
         self._sock.close()
 
-    def _is_quiet(self) -> bool:
-        """Whether the connection is open with nothing to read."""
+    def _has_no_input(self) -> bool:
+        """Whether the socket has no unread data and no end of file."""
         poll = select.poll()
         poll.register(self._sock.fileno(), select.POLLIN)
         return not poll.poll(0)
 
-    async def _send_now(self) -> None:
+    async def _send_available(self) -> None:
         try:
-            sent = await self._sock.send(self._rest)
+            sent = await self._sock.send(self._unsent)
         except (OSError, trio.ClosedResourceError) as error:
-            raise self._fault(f"not sent: {error!r}") from error
-        self._rest = self._rest[sent:]
+            raise self._mark_broken(f"not sent: {error!r}") from error
+        self._unsent = self._unsent[sent:]
 
-    async def _send_rest(self) -> None:
-        while self._rest:
+    async def _send_remaining(self) -> None:
+        while self._unsent:
             try:
-                sent = await self._sock.send(self._rest)
+                sent = await self._sock.send(self._unsent)
             except (OSError, trio.ClosedResourceError):
-                # Its answer, or the lack of one, tells more than this error.
+                # The reader reports the answer or a more precise error.
                 return
-            self._rest = self._rest[sent:]
+            self._unsent = self._unsent[sent:]
 
     async def _read_head(self) -> AnswerHead:
         while True:
@@ -152,7 +161,7 @@
                 continue
             if isinstance(event, h11.Response):
                 return AnswerHead(event.status_code, tuple(event.headers))
-            raise self._fault("the connection was closed without an answer")
+            raise self._mark_broken("the connection was closed without an answer")
 
     async def _next_event(self):
         try:
@@ -163,11 +172,11 @@
                 data = await self._sock.recv(_READ_BYTES)
                 self._protocol.receive_data(data)
         except h11.RemoteProtocolError as error:
-            raise self._fault(f"no valid answer: {error}") from error
+            raise self._mark_broken(f"no valid answer: {error}") from error
         except (OSError, trio.ClosedResourceError) as error:
-            raise self._fault(f"the connection broke: {error!r}") from error
+            raise self._mark_broken(f"the connection broke: {error!r}") from error
 
-    def _fault(self, text: str) -> ConnectionFault:
+    def _mark_broken(self, text: str) -> ConnectionFault:
         self._is_broken = True
         return ConnectionFault(text, True)
 
--- a/src/pepperstep/adapters/http1/connection.py
+++ b/src/pepperstep/adapters/http1/connection.py
@@ -1,4 +1,4 @@
-"""One caller's connection: its requests one after the other, and their answers."""
+"""A caller's connection, which carries requests and answers one at a time."""
 
 import itertools
 import socket
@@ -22,12 +22,13 @@
 
 __all__ = ["CallerConnection"]
 
-# One read of a connection, in bytes: most requests come in one.
+# Largest read from a socket; most requests fit into one.
 _READ_BYTES = 65_536
-# Data that a caller may send ahead of the answer before reading stops, in bytes.
-_MAX_AHEAD_BYTES = 262_144
-# What is read of a refused request, in seconds and bytes: callers need some
-# milliseconds to see the refusal.
+# Pipelined data that is buffered while a request is answered. Reading stops at this
+# size.
+_MAX_PIPELINED_BYTES = 262_144
+# Limits on reading the rest of a refused request. Callers need some milliseconds to
+# receive the refusal.
 _LINGER_SECONDS = 0.5
 _LINGER_BYTES = 8_388_608
 
@@ -49,7 +50,7 @@
 
 
 class CallerConnection:
-    """One caller's connection, which carries one request after the other."""
+    """Reads a caller's requests and passes each to `handler` as an exchange."""
 
     def __init__(
         self,
@@ -67,8 +68,8 @@
         self._protocol = h11.Connection(
             h11.SERVER, max_incomplete_event_size=limits().header_bytes
         )
-        self._gone = trio.Event()
-        self._ahead = 0
+        self._disconnected = trio.Event()
+        self._pipelined_bytes = 0
         self._has_served = False
         self.is_busy = False
         self.head: RequestHead | None = None
@@ -77,18 +78,21 @@
         self.has_begun = False
 
     async def run(self) -> None:
-        """Serve the connection to its end."""
+        """Serve requests until the connection ends."""
         self._sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         while True:
             if not await self._read_request():
                 return
             self.is_busy = True
-            await run_beside(self._watch, partial(self._handler, self))
+            await run_beside(self._watch_for_disconnect, partial(self._handler, self))
             self.is_busy = False
             self._has_served = True
             if self._protocol.our_state is not h11.DONE:
                 return
-            if self._protocol.their_state is not h11.DONE or self._gone.is_set():
+            if (
+                self._protocol.their_state is not h11.DONE
+                or self._disconnected.is_set()
+            ):
                 return
             self._protocol.start_next_cycle()
 
@@ -110,32 +114,32 @@
         await self._send(encoded)
 
     async def send(self, data: bytes) -> None:
-        """Send a further piece."""
+        """Send another piece of the answer's body."""
         await self._send(self._protocol.send(h11.Data(data)))
 
     async def finish(self) -> None:
-        """End the answer as complete."""
+        """Complete the answer."""
         data = self._protocol.send(h11.EndOfMessage())
         if data:
             await self._send(data)
 
     def abort(self) -> None:
-        """Reset the connection, so that an answer can't look complete."""
+        """Reset the connection, so that a partial answer can't look complete."""
         if self._sock.fileno() < 0:
             return
         no_linger = b"\x01\x00\x00\x00\x00\x00\x00\x00"
         try:
             self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, no_linger)
         except OSError as error:
-            logging.info("http: A connection ended before its reset: %s.", error)
+            logging.info("http: Connection closed before it could be reset: %s.", error)
         self._sock.close()
 
     async def wait_gone(self) -> None:
         """Return once the caller has closed the connection."""
-        await self._gone.wait()
+        await self._disconnected.wait()
 
     async def _read_request(self) -> bool:
-        """Read a request; return False if the connection is to end."""
+        """Read a request; return False if the connection must be closed."""
         self.has_begun = False
         self.body = b""
         if not await self._wait_first_byte():
@@ -172,12 +176,12 @@
             event = self._protocol.next_event()
             if event is h11.NEED_DATA:
                 if self._protocol.they_are_waiting_for_100_continue:
-                    await self._go_on()
+                    await self._send_continue()
                 data = await self._sock.recv(_READ_BYTES)
                 self._protocol.receive_data(data)
                 continue
             if isinstance(event, h11.Request):
-                # h11 bounds only what comes in several reads.
+                # h11 limits only heads that take several reads.
                 if _head_size(event) > limits.header_bytes:
                     await self._refuse(431)
                     return False
@@ -199,26 +203,28 @@
             else:
                 return False
 
-    async def _go_on(self) -> None:
+    async def _send_continue(self) -> None:
         response = h11.InformationalResponse(status_code=100, headers=[])
         await self._send(self._protocol.send(response))
 
     async def _refuse(self, status: int) -> None:
-        """Answer a request that isn't read to its end, and close."""
+        """Refuse a request that wasn't read completely, and close the connection."""
         if self._protocol.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
         close = ((b"connection", b"close"),)
         try:
             await self.answer(Answer(status, b"", close))
-            await self._linger()
+            await self._discard_request()
         except (OSError, CallerGone, h11.LocalProtocolError) as error:
-            logging.info("http: A refusal with %d wasn't sent: %s.", status, error)
+            logging.info(
+                "http: Failed to send refusal with status %d: %s.", status, error
+            )
 
-    async def _linger(self) -> None:
-        """Read what the caller still sends, for a while.
+    async def _discard_request(self) -> None:
+        """Read and discard the rest of a refused request, within limits.
 
-        A close with unread bytes resets the connection, and the caller would
-        lose the refusal that is on its way.
+        Closing a socket with unread data resets the connection, and the caller
+        would lose a refusal that it hasn't received yet.
         """
         self._sock.shutdown(socket.SHUT_WR)
         size = 0
@@ -250,24 +256,24 @@
         except OSError as error:
             raise CallerGone from error
 
-    async def _watch(self) -> None:
-        """Notice the caller's end while its request is answered."""
+    async def _watch_for_disconnect(self) -> None:
+        """Detect the caller's disconnect while its request is being answered."""
         for _ in itertools.count():
-            if self._ahead > _MAX_AHEAD_BYTES:
+            if self._pipelined_bytes > _MAX_PIPELINED_BYTES:
                 await trio.sleep_forever()
             try:
                 data = await self._sock.recv(_READ_BYTES)
             except (OSError, trio.ClosedResourceError):
                 data = b""
             if not data:
-                self._gone.set()
+                self._disconnected.set()
                 return
-            self._ahead += len(data)
+            self._pipelined_bytes += len(data)
             self._protocol.receive_data(data)
 
 
 def _head_size(request: h11.Request) -> int:
-    """Return the bytes of a request's first line and headers."""
+    """Return the size in bytes of a request line and its headers."""
     size = len(request.method) + len(request.target) + len(b"  HTTP/1.1\r\n\r\n")
     for name, value in request.headers:
         size += len(name) + len(value) + len(b": \r\n")
--- a/src/pepperstep/adapters/http1/framing.py
+++ b/src/pepperstep/adapters/http1/framing.py
@@ -1,4 +1,4 @@
-"""Which headers tell where a message ends, and which concern one connection."""
+"""Message framing and hop-by-hop headers of HTTP/1.1."""
 
 from collections.abc import Iterable
 
@@ -22,10 +22,10 @@
 
 
 def is_framed_twice(headers: Iterable[Header]) -> bool:
-    """Whether a length stands beside an encoding, or an encoding twice.
+    """Whether Transfer-Encoding is repeated or accompanied by Content-Length.
 
-    Two readers that choose differently see different requests, so that one
-    can be smuggled inside another.
+    Two parsers that resolve the conflict differently see different requests,
+    which allows request smuggling.
     """
     names = [name for name, _ in headers]
     encodings = names.count(b"transfer-encoding")
@@ -35,10 +35,10 @@
 
 
 def end_to_end(headers: Iterable[Header]) -> list[Header]:
-    """Return the headers without those that concern one connection."""
+    """Return the headers without the hop-by-hop ones."""
     headers = list(headers)
-    dropped = set(_HOP_BY_HOP)
+    hop_by_hop = set(_HOP_BY_HOP)
     for name, value in headers:
         if name == b"connection":
-            dropped |= {each.strip().lower() for each in value.split(b",")}
-    return [header for header in headers if header[0] not in dropped]
+            hop_by_hop |= {each.strip().lower() for each in value.split(b",")}
+    return [header for header in headers if header[0] not in hop_by_hop]
--- a/src/pepperstep/adapters/http1/metrics.py
+++ b/src/pepperstep/adapters/http1/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a host over HTTP."""
+"""HTTP endpoint for a host's metrics."""
 
 from pepperstep.observability.relay_metrics import RelayMetrics
 from pepperstep.ports.exchange import Answer, Exchange
@@ -9,7 +9,7 @@
 
 
 class MetricsCalls:
-    """Answers scrapes with all metrics as text."""
+    """Serves all metrics in the text exposition format at `/metrics`."""
 
     def __init__(self, metrics: RelayMetrics):
         self._metrics = metrics
--- a/src/pepperstep/adapters/http1/server.py
+++ b/src/pepperstep/adapters/http1/server.py
@@ -1,4 +1,4 @@
-"""Server of HTTP/1.1 whose handlers see each request whole."""
+"""HTTP/1.1 server whose handlers get each request with its whole body."""
 
 import socket
 from collections.abc import Callable
@@ -12,15 +12,15 @@
 
 __all__ = ["Http1Server"]
 
-# Connections that wait for `accept`. A burst of callers that all reconnect at
-# once must not overflow it: a dropped opening packet costs the caller seconds.
+# Listen backlog. It must hold a burst of callers that reconnect at once, because a
+# dropped SYN costs the caller seconds.
 _BACKLOG = 1_024
-# Pause after the system refused a connection for want of descriptors, in seconds.
+# Pause after `accept` failed, for example for lack of file descriptors.
 _ACCEPT_PAUSE_SECONDS = 0.05
 
 
 class Http1Server:
-    """Listens on one address and hands each request to `handler`."""
+    """Listens on one address and passes each request to `handler`."""
 
     def __init__(
         self,
@@ -38,11 +38,11 @@
 
     @property
     def busy_count(self) -> int:
-        """Number of connections with a request under way."""
+        """Number of connections with an in-flight request."""
         return sum(connection.is_busy for connection in self._connections)
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED) -> None:
-        """Serve until cancelled; raise OSError if the address is taken."""
+        """Serve until cancelled; raise OSError if the address can't be bound."""
         host, _, port = self._address.rpartition(":")
         listener = trio.socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -61,7 +61,7 @@
             listener.close()
 
     def announce_closing(self) -> None:
-        """Tell callers with each answer that the connection ends with it."""
+        """Send `Connection: close` with each further answer."""
         self._is_closing = True
 
     async def _accept(
@@ -73,7 +73,9 @@
             except ConnectionError:
                 continue
             except OSError as error:
-                logging.warning("http: No connection accepted: %s.", error.strerror)
+                logging.warning(
+                    "http: Failed to accept a connection: %s.", error.strerror
+                )
                 await trio.sleep(_ACCEPT_PAUSE_SECONDS)
                 continue
             nursery.start_soon(self._serve, sock)
@@ -86,11 +88,11 @@
         try:
             await connection.run()
         except (OSError, CallerGone):
-            # The caller's end; what it waited for was told by `wait_gone`.
+            # The caller disconnected; `wait_gone` has informed the handler.
             connection.abort()
         except Exception:
-            # One request's fault must not end the others.
-            logging.exception("http: A request's handler failed.")
+            # A bug in one request's handler must not stop the server.
+            logging.exception("http: A request handler raised an exception.")
             connection.abort()
         finally:
             self._connections.discard(connection)
--- a/src/pepperstep/adapters/http_upstreams.py
+++ b/src/pepperstep/adapters/http_upstreams.py
@@ -1,4 +1,4 @@
-"""Client of upstreams over HTTP, by httpcore (docs/INTERFACES.md)."""
+"""HTTP client for upstreams, based on httpcore (docs/INTERFACES.md)."""
 
 import math
 from collections.abc import AsyncIterator
@@ -9,7 +9,7 @@
 import msgspec
 import trio
 
-from pepperstep.adapters.paced_network import PacedBackend, pace_for
+from pepperstep.adapters.paced_network import PacedBackend, read_period_for
 from pepperstep.adapters.upstream_connections import UpstreamConnections
 from pepperstep.entities import ModelKey, Request, Role, ServiceAnswer, Upstream
 from pepperstep.ports.upstreams import (
@@ -26,26 +26,26 @@
 __all__ = ["HttpUpstreams"]
 
 _CONNECT_SECONDS = 1.0
-# A stream without any byte for this time counts as lost.
+# A stream without data for this time counts as lost.
 _SILENCE_SECONDS = 15.0
-# The end of a body comes right behind its end mark.
-_TAIL_SECONDS = 0.05
+# How long to wait for the end of a body after its end mark, which it follows at once.
+_BODY_END_SECONDS = 0.05
 _CONTROL_SECONDS = 5.0
 _MAX_EVENT_BYTES = 1024 * 1024
 _MAX_ANSWER_BYTES = 16 * 1024 * 1024
 _EVENT_END = b"\n\n"
 _DATA_PREFIX = b"data: "
 _JSON = ((b"content-type", b"application/json"),)
-# Statuses by which an upstream says that it surely didn't run the request.
+# Statuses which guarantee that the upstream didn't run the request.
 _REFUSALS = frozenset({401, 404, 409, 429, 503})
 
 
-# What the hosts' own messages can carry.
+# Range of the integers in messages between hosts.
 _Number = Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
 
 
 class _Event(msgspec.Struct):
-    """One event of an engine's stream: tokens, or the end mark."""
+    """One server-sent event of an engine: tokens or the end mark."""
 
     attempt_id: str
     position: _Number = 0
@@ -57,20 +57,20 @@
 
 
 class _Confirmation(msgspec.Struct):
-    """Answer to a cancel: whether the attempt has ended."""
+    """Answer to a cancel order."""
 
     is_ended: bool
 
 
 class _Export(msgspec.Struct):
-    """Answer to an export of a KV cache."""
+    """Answer to the export of a KV cache."""
 
     tokens: _Number
     size_bytes: _Number
 
 
 class _State(msgspec.Struct):
-    """An upstream's state when it's read back."""
+    """Answer to a query of an upstream's state."""
 
     epoch: _Number
     models: list[ModelKey]
@@ -84,7 +84,7 @@
 
 
 class HttpUpstreams:
-    """Upstream client; its connections to each upstream are kept apart."""
+    """Upstream client with a separate connection pool for each upstream."""
 
     def __init__(self, key: str, ssl_context=None):
         self._headers = [(b"authorization", b"Bearer " + key.encode())]
@@ -96,21 +96,24 @@
     async def generate(
         self, upstream: Upstream, order: GenerateOrder
     ) -> AsyncIterator[AsyncIterator[TokenChunk | EndMark]]:
-        """Open an attempt and give its chunks."""
+        """Start an attempt and give an iterator of its chunks.
+
+        Raise `UpstreamRefused` or `UpstreamLost`.
+        """
         body = msgspec.json.encode(order)
         request = self._request(upstream, "/engine/v1/generate", body)
-        async with self._stream(upstream, request) as response:
+        async with self._open_response(upstream, request) as response:
             if response.status != 200:
-                raise await _error_of(response)
+                raise await _read_error(response)
             silence = trio.move_on_after(_SILENCE_SECONDS)
             with silence:
-                period = pace_for(upstream.load.decode_seconds)
+                period = read_period_for(upstream.load.decode_seconds)
                 yield _read_events(response, silence, period)
             if silence.cancelled_caught:
                 raise UpstreamLost("The stream was silent for too long.")
 
     async def cancel(self, upstream: Upstream, attempt_id: str) -> bool:
-        """Return whether the upstream confirmed that the attempt has ended."""
+        """Cancel an attempt; return whether the upstream confirmed its end."""
         body = msgspec.json.encode({"attempt_id": attempt_id})
         answer = await self._post(upstream, "/engine/v1/cancel", body)
         return _decode(answer, _Confirmation).is_ended
@@ -129,7 +132,7 @@
     async def call_service(
         self, upstream: Upstream, request: Request, attempt_id: str
     ) -> ServiceAnswer:
-        """Return the whole answer of a plain service."""
+        """Call a plain service and return its whole answer."""
         content_type = request.content_type.encode() or b"application/json"
         headers = (
             (b"content-type", content_type),
@@ -142,9 +145,9 @@
             method=request.method,
             headers=headers,
         )
-        async with self._stream(upstream, call) as response:
+        async with self._open_response(upstream, call) as response:
             if _header(response, b"x-not-run"):
-                raise await _error_of(response)
+                raise await _read_error(response)
             echoed = _header(response, b"x-attempt-id")
             if echoed and echoed != attempt_id:
                 raise UpstreamLost(f"Answer of {echoed} came to {attempt_id}.")
@@ -153,11 +156,11 @@
             return ServiceAnswer(response.status, content_type, body)
 
     async def send_order(self, upstream: Upstream, order: UpstreamOrder) -> None:
-        """Return once the upstream has accepted the order."""
+        """Send an order; return once the upstream has accepted it."""
         await self._post(upstream, "/upstream/v1/orders", msgspec.json.encode(order))
 
     async def read_state(self, upstream: Upstream) -> UpstreamState:
-        """Return the state as the upstream has it now."""
+        """Query the upstream for its current state."""
         answer = await self._post(upstream, "/upstream/v1/state", b"{}")
         state = _decode(answer, _State)
         return UpstreamState(
@@ -170,7 +173,7 @@
         )
 
     async def forget(self, address: str) -> None:
-        """Close the connections to an upstream that has gone."""
+        """Close the connections to an upstream that has left."""
         connections = self._connections.pop(address, None)
         if connections is not None:
             await connections.aclose()
@@ -183,12 +186,12 @@
         timeout: float = _CONTROL_SECONDS,
     ) -> bytes:
         request = self._request(upstream, path, body, timeout=timeout)
-        async with self._stream(upstream, request) as response:
+        async with self._open_response(upstream, request) as response:
             if response.status != 200:
-                raise await _error_of(response)
+                raise await _read_error(response)
             return await _read_whole(response)
 
-    def _connections_to(self, upstream: Upstream) -> UpstreamConnections:
+    def _get_connections(self, upstream: Upstream) -> UpstreamConnections:
         connections = self._connections.get(upstream.address)
         if connections is None:
             origin = httpcore.URL(self._url_of(upstream, "/")).origin
@@ -222,20 +225,20 @@
         )
 
     @asynccontextmanager
-    async def _stream(
+    async def _open_response(
         self, upstream: Upstream, request: httpcore.Request
     ) -> AsyncIterator[httpcore.Response]:
-        """Send a request; errors in the block become those of the port."""
-        connections = self._connections_to(upstream)
-        async with _mapped_errors(), connections.stream(request) as response:
+        """Send a request; map httpcore's errors in the block to those of the port."""
+        connections = self._get_connections(upstream)
+        async with _map_errors(), connections.stream(request) as response:
             yield response
 
 
 @asynccontextmanager
-async def _mapped_errors() -> AsyncIterator[None]:
-    """Turn httpcore's errors into the port's.
+async def _map_errors() -> AsyncIterator[None]:
+    """Map httpcore's errors to `UpstreamRefused` and `UpstreamLost`.
 
-    Only an error before any byte went out says that the request didn't run.
+    Only an error before the first byte was sent proves that the request didn't run.
     """
     try:
         yield
@@ -253,11 +256,11 @@
         raise UpstreamLost(f"Connection lost: {type(error).__name__}.") from error
 
 
-async def _error_of(response: httpcore.Response) -> UpstreamRefused | UpstreamLost:
+async def _read_error(response: httpcore.Response) -> UpstreamRefused | UpstreamLost:
     body = await _read_whole(response)
     text = f"Status {response.status}: {body[:200].decode(errors='replace')}"
     if response.status in _REFUSALS:
-        retry_after = _seconds(_header(response, b"retry-after"))
+        retry_after = _parse_seconds(_header(response, b"retry-after"))
         error = UpstreamRefused(text, retry_after)
     else:
         error = UpstreamLost(text)
@@ -268,41 +271,43 @@
 async def _read_events(
     response: httpcore.Response, silence: trio.CancelScope, period: float
 ) -> AsyncIterator[TokenChunk | EndMark]:
-    rest = b""
+    incomplete_event = b""
     stream = response.aiter_stream()
     connection = response.extensions["network_stream"]
     async for data in stream:
-        # The first token comes at once, the others at the common ticks.
+        # The first token is read at once, later ones at the shared ticks.
         connection.period = period
         silence.deadline = trio.current_time() + _SILENCE_SECONDS
-        parts = (rest + data).split(_EVENT_END)
-        rest = parts.pop()
-        if len(rest) > _MAX_EVENT_BYTES:
+        blocks = (incomplete_event + data).split(_EVENT_END)
+        incomplete_event = blocks.pop()
+        if len(incomplete_event) > _MAX_EVENT_BYTES:
             raise UpstreamLost("An event is too long.")
-        for part in parts:
-            event = _decode_part(part)
+        for block in blocks:
+            event = _decode_event_block(block)
             if isinstance(event, EndMark):
-                await _read_tail(response, stream)
+                await _read_body_end(response, stream)
             yield event
 
 
-async def _read_tail(response: httpcore.Response, stream: AsyncIterator[bytes]) -> None:
-    """Read the end of the body, so that the connection can be used again.
+async def _read_body_end(
+    response: httpcore.Response, stream: AsyncIterator[bytes]
+) -> None:
+    """Read the end of the body, so that the connection can be reused.
 
-    If that takes too long the connection is closed with the response.
+    After `_BODY_END_SECONDS` the connection is closed with the response instead.
     """
     response.extensions["network_stream"].period = 0.0
-    with trio.move_on_after(_TAIL_SECONDS):
+    with trio.move_on_after(_BODY_END_SECONDS):
         async for data in stream:
             if data:
                 raise UpstreamLost("The stream goes on behind its end mark.")
 
 
-def _decode_part(part: bytes) -> TokenChunk | EndMark:
-    if not part.startswith(_DATA_PREFIX):
+def _decode_event_block(block: bytes) -> TokenChunk | EndMark:
+    if not block.startswith(_DATA_PREFIX):
         raise UpstreamLost("The stream is no event stream.")
     try:
-        event = _decode_event(part[len(_DATA_PREFIX) :])
+        event = _decode_event(block[len(_DATA_PREFIX) :])
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise UpstreamLost("An event can't be decoded.") from error
     if event.count is None:
@@ -339,7 +344,7 @@
     return ""
 
 
-def _seconds(text: str) -> float | None:
+def _parse_seconds(text: str) -> float | None:
     try:
         seconds = float(text)
     except ValueError:
--- a/src/pepperstep/adapters/line_handler.py
+++ b/src/pepperstep/adapters/line_handler.py
@@ -1,4 +1,4 @@
-"""Handler that writes log lines as JSON, bounded in volume, and never waits."""
+"""Non-blocking logging handler that writes rate-limited JSON lines."""
 
 import logging as standard_logging
 import os
@@ -14,16 +14,16 @@
 
 __all__ = ["LineHandler", "set_up_lines"]
 
-# Lines of one kind a second, and at once. A host relays some hundred requests a
-# second; the bound is a guess that leaves room for a few lines each.
+# Token bucket for the lines of one logging statement. A host relays some hundred
+# requests a second, which leaves room for a few lines each.
 _LINES_PER_SECOND = 100.0
 _BURST_LINES = 300.0
-# Writes of so many bytes to a pipe are whole or not at all.
+# PIPE_BUF on Linux: writes of up to this size to a pipe are atomic.
 _MAX_LINE_BYTES = 4_096
 
 
 class _Line(msgspec.Struct, omit_defaults=True):
-    """Fields that each line has, before those of its event."""
+    """Fields common to all lines; those of the event follow."""
 
     time: str
     level: str
@@ -31,21 +31,21 @@
     part: str
     message: str = ""
     exception: str = ""
-    # Lines of this kind that were left out before this one.
+    # Lines of the same logging statement dropped since its last written line.
     dropped: int = 0
 
 
 @dataclass(slots=True)
-class _Kind:
-    """Budget of one kind of line."""
+class _LineBucket:
+    """Token bucket of one logging statement, with its count of dropped lines."""
 
     tokens: float = _BURST_LINES
-    filled_at: float = 0.0
+    refilled_at: float = 0.0
     dropped: int = 0
 
 
 def set_up_lines(host: str) -> None:
-    """Send all of absl's log lines of level INFO and above to standard output."""
+    """Write absl's log records of level INFO and above to standard output as JSON."""
     logger = logging.get_absl_logger()
     for handler in list(logger.handlers):
         logger.removeHandler(handler)
@@ -55,32 +55,36 @@
 
 
 class LineHandler(standard_logging.Handler):
-    """Writes to a file descriptor; a full pipe loses lines, which are counted."""
+    """Writes JSON lines to a file descriptor; drops and counts lines if it's full."""
 
     def __init__(self, host: str, descriptor: int = 1):
         super().__init__()
         self._host = host
         self._descriptor = descriptor
-        self._kinds: dict[tuple[str, int], _Kind] = {}
+        self._buckets: dict[tuple[str, int], _LineBucket] = {}
         self._poll = select.poll()
         self._poll.register(descriptor, select.POLLOUT)
 
     def emit(self, record: standard_logging.LogRecord) -> None:
-        """Write the record's line, or count it as dropped."""
-        kind = self._kinds.setdefault((record.pathname, record.lineno), _Kind())
-        if not self._take(kind) or not self._write(self._encode(record, kind)):
-            kind.dropped += 1
+        """Write the record, or count it as dropped."""
+        bucket = self._buckets.setdefault(
+            (record.pathname, record.lineno), _LineBucket()
+        )
+        if not self._take_token(bucket) or not self._write(
+            self._encode(record, bucket)
+        ):
+            bucket.dropped += 1
             return
-        kind.dropped = 0
+        bucket.dropped = 0
 
-    def _take(self, kind: _Kind) -> bool:
+    def _take_token(self, bucket: _LineBucket) -> bool:
         now = time.monotonic()
-        passed = now - kind.filled_at
-        kind.filled_at = now
-        kind.tokens = min(_BURST_LINES, kind.tokens + passed * _LINES_PER_SECOND)
-        if kind.tokens < 1:
+        passed = now - bucket.refilled_at
+        bucket.refilled_at = now
+        bucket.tokens = min(_BURST_LINES, bucket.tokens + passed * _LINES_PER_SECOND)
+        if bucket.tokens < 1:
             return False
-        kind.tokens -= 1
+        bucket.tokens -= 1
         return True
 
     def _write(self, line: bytes) -> bool:
@@ -89,11 +93,11 @@
                 return False
             os.write(self._descriptor, line)
         except OSError:
-            # There is nowhere left to say so; the count tells once it's back.
+            # The error can't be logged; the next line reports the dropped count.
             return False
         return True
 
-    def _encode(self, record: standard_logging.LogRecord, kind: _Kind) -> bytes:
+    def _encode(self, record: standard_logging.LogRecord, bucket: _LineBucket) -> bytes:
         event = record.args[0] if record.args and len(record.args) == 1 else None
         is_event = isinstance(event, Decision)
         text = record.msg if is_event else record.getMessage()
@@ -105,7 +109,7 @@
             part=part,
             message="" if is_event else message[: _MAX_LINE_BYTES // 2],
             exception=self._exception_of(record),
-            dropped=kind.dropped,
+            dropped=bucket.dropped,
         )
         data = msgspec.json.encode(line)
         if is_event:
--- a/src/pepperstep/adapters/paced_network.py
+++ b/src/pepperstep/adapters/paced_network.py
@@ -1,9 +1,9 @@
-"""Network backend for httpcore that reads all streams at common moments.
+"""Network backend for httpcore that batches the reads of all token streams.
 
-Tokens of many streams come in at different moments; a wakeup for each costs
-more than its bytes. So reads wait for the next tick of a clock that all
-connections share, and what has come in by then is read at once. Fast engines
-are read at every second tick, which brings two tokens or more each time.
+The tokens of many streams arrive at different times, and a wakeup for each costs
+more than processing its bytes. Reads therefore wait for the next tick of a clock
+that all connections share, and return all data received by then. Streams of fast
+engines are read at every second tick, with two or more tokens each time.
 """
 
 import select
@@ -14,20 +14,20 @@
 import httpcore
 import trio
 
-__all__ = ["PacedBackend", "pace_for"]
+__all__ = ["PacedBackend", "read_period_for"]
 
-# A gap between tokens becomes the next multiple of the period. Two ticks leave
-# some milliseconds to the target of 53 ms a token.
+# Interval of the shared clock. The time between tokens is rounded up to a multiple of
+# the read period; two ticks stay a few milliseconds below the target of 53 ms.
 TICK_SECONDS = 0.024
 
 
-def pace_for(decode_seconds: float) -> float:
-    """Return the period in seconds for an engine's time between two tokens."""
+def read_period_for(decode_seconds: float) -> float:
+    """Return the read period in seconds, given an engine's time per token."""
     return 2 * TICK_SECONDS if decode_seconds <= TICK_SECONDS else TICK_SECONDS
 
 
 class PacedBackend(httpcore.AsyncNetworkBackend):
-    """Opens connections whose reads can be paced."""
+    """Opens connections whose reads can be aligned to ticks."""
 
     async def connect_tcp(
         self,
@@ -37,7 +37,7 @@
         local_address: str | None = None,
         socket_options: Iterable[Any] | None = None,
     ) -> httpcore.AsyncNetworkStream:
-        """Open a connection."""
+        """Open a TCP connection; raise httpcore's errors."""
         try:
             with trio.fail_after(timeout or float("inf")):
                 stream = await trio.open_tcp_stream(
@@ -50,14 +50,15 @@
         return _PacedStream(stream)
 
     async def sleep(self, seconds: float) -> None:
-        """Sleep, as httpcore asks between its own attempts to connect."""
+        """Sleep; httpcore calls this between its connection attempts."""
         await trio.sleep(seconds)
 
 
 class _PacedStream(httpcore.AsyncNetworkStream):
-    """A connection whose reads wait for a multiple of `period`, unless it's 0.
+    """A connection whose reads wait for a multiple of `period` seconds.
 
-    A write begins a new exchange, with prompt reads.
+    With a period of 0 reads return as soon as data arrives. A write starts a new
+    request and resets the period to 0.
     """
 
     def __init__(self, stream: trio.abc.Stream):
@@ -65,14 +66,14 @@
         self.period = 0.0
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
-        """Return what has come in, b"" at the end.
+        """Return the received data, b"" at the end of the stream.
 
-        `timeout` holds while reads aren't paced; who reads a paced stream
-        watches for its silence with one scope, which costs less.
+        `timeout` applies only while `period` is 0. The reader of a paced stream
+        detects silence with one cancel scope for all reads, which costs less.
         """
         try:
             if self.period:
-                await self._wait_tick()
+                await self._wait_for_tick()
                 return await self._stream.receive_some(max_bytes)
             with trio.fail_after(timeout or float("inf")):
                 return await self._stream.receive_some(max_bytes)
@@ -104,7 +105,7 @@
         server_hostname: str | None = None,
         timeout: float | None = None,
     ) -> httpcore.AsyncNetworkStream:
-        """Return the connection with TLS."""
+        """Return the connection wrapped in TLS."""
         secure = trio.SSLStream(
             self._stream,
             ssl_context,
@@ -121,7 +122,7 @@
         return _PacedStream(secure)
 
     def get_extra_info(self, info: str) -> Any:
-        """Return what httpcore asks of a connection, None for the unknown."""
+        """Return connection metadata for httpcore, None for unknown keys."""
         if info == "ssl_object" and isinstance(self._stream, trio.SSLStream):
             return self._stream
         if info == "is_readable":
@@ -129,13 +130,16 @@
         return None
 
     def _is_readable(self) -> bool:
-        """Whether an idle connection has ended; httpcore asks before a reuse."""
+        """Whether an idle connection has input, which means that it was closed.
+
+        httpcore checks this before it reuses a connection.
+        """
         stream = self._stream
         while isinstance(stream, trio.SSLStream):
             stream = stream.transport_stream
         return _has_input(stream.socket)
 
-    async def _wait_tick(self) -> None:
+    async def _wait_for_tick(self) -> None:
         now = trio.current_time()
         due = (now // self.period + 1) * self.period
         await trio.sleep_until(due)
--- a/src/pepperstep/adapters/upstream_connections.py
+++ b/src/pepperstep/adapters/upstream_connections.py
@@ -1,8 +1,8 @@
-"""Connections to one upstream, kept open between requests.
+"""Pool of persistent connections to one upstream.
 
-httpcore's own pool looks at each of its connections for each request, which
-costs more than the request itself once some dozens are open. Here the one used
-last is taken first, and only that one is looked at.
+httpcore's pool checks every connection on every request, which costs more than
+the request itself with some dozens of open connections. This pool reuses the
+most recently used connection and checks only that one.
 """
 
 from collections.abc import AsyncIterator
@@ -14,12 +14,12 @@
 __all__ = ["UpstreamConnections"]
 
 _IDLE_SECONDS = 30.0
-# More idle connections than this are closed.
+# Idle connections beyond this number are closed.
 _MAX_IDLE = 64
 
 
 class UpstreamConnections:
-    """Idle connections to one origin; a request in progress has one of its own."""
+    """Pool of idle connections to one origin; a connection serves one request."""
 
     def __init__(self, origin: httpcore.Origin, backend, ssl_context=None):
         self._origin = origin
@@ -31,11 +31,11 @@
     async def stream(
         self, request: httpcore.Request
     ) -> AsyncIterator[httpcore.Response]:
-        """Send a request and give the response, whose body is read in the block.
+        """Send a request and give the response; its body is read in the block.
 
-        A connection that broke, or whose body wasn't read to its end, is closed.
+        The connection is closed if it broke or the body wasn't read completely.
         """
-        connection = await self._take()
+        connection = await self._acquire()
         try:
             response = await connection.handle_async_request(request)
             try:
@@ -43,14 +43,14 @@
             finally:
                 await response.aclose()
         finally:
-            await self._give_back(connection)
+            await self._release(connection)
 
     async def aclose(self) -> None:
         """Close all idle connections."""
         while self._idle:
             await self._idle.pop().aclose()
 
-    async def _take(self) -> httpcore.AsyncHTTPConnection:
+    async def _acquire(self) -> httpcore.AsyncHTTPConnection:
         while self._idle:
             connection = self._idle.pop()
             if connection.is_available() and not connection.has_expired():
@@ -63,7 +63,7 @@
             network_backend=self._backend,
         )
 
-    async def _give_back(self, connection: httpcore.AsyncHTTPConnection) -> None:
+    async def _release(self, connection: httpcore.AsyncHTTPConnection) -> None:
         is_usable = connection.is_idle() and not connection.is_closed()
         if is_usable and len(self._idle) < _MAX_IDLE:
             self._idle.append(connection)
