--- a/proofs/relay.py
+++ b/proofs/relay.py
@@ -132,7 +132,7 @@
         2,
         "a request that is framed twice is refused",
         "adapters/http1/connection.py",
-        "if is_framed_twice(event.headers):",
+        "if has_conflicting_framing(event.headers):",
         "if False:",
         (
             "tests/relaying/test_http1.py::"
--- a/src/pepperstep/adapters/http1/connection.py
+++ b/src/pepperstep/adapters/http1/connection.py
@@ -9,7 +9,7 @@
 import trio
 from absl import logging
 
-from pepperstep.adapters.http1.framing import is_framed_twice
+from pepperstep.adapters.http1.framing import has_conflicting_framing
 from pepperstep.entities.routes import CallerLimits
 from pepperstep.ports.exchange import (
     Answer,
@@ -185,7 +185,7 @@
                 if _head_size(event) > limits.header_bytes:
                     await self._refuse(431)
                     return False
-                if is_framed_twice(event.headers):
+                if has_conflicting_framing(event.headers):
                     await self._refuse(400)
                     return False
                 self.head = RequestHead(
--- a/src/pepperstep/adapters/http1/framing.py
+++ b/src/pepperstep/adapters/http1/framing.py
@@ -4,7 +4,7 @@
 
 from pepperstep.ports.exchange import Header
 
-__all__ = ["end_to_end", "is_framed_twice"]
+__all__ = ["end_to_end", "has_conflicting_framing"]
 
 _HOP_BY_HOP = frozenset(
     (
@@ -21,7 +21,7 @@
 )
 
 
-def is_framed_twice(headers: Iterable[Header]) -> bool:
+def has_conflicting_framing(headers: Iterable[Header]) -> bool:
     """Whether Transfer-Encoding is repeated or accompanied by Content-Length.
 
     Two parsers that resolve the conflict differently see different requests,
--- a/src/pepperstep/adapters/line_handler.py
+++ b/src/pepperstep/adapters/json_line_handler.py
@@ -12,7 +12,7 @@
 from pepperstep.observability.decisions import Decision
 from pepperstep.observability.logs import split_part, utc_text
 
-__all__ = ["LineHandler", "set_up_lines"]
+__all__ = ["JsonLineHandler", "set_up_json_logging"]
 
 # Token bucket for the lines of one logging statement. A host relays some hundred
 # requests a second, which leaves room for a few lines each.
@@ -44,17 +44,17 @@
     dropped: int = 0
 
 
-def set_up_lines(host: str) -> None:
+def set_up_json_logging(host: str) -> None:
     """Write absl's log records of level INFO and above to standard output as JSON."""
     logger = logging.get_absl_logger()
     for handler in list(logger.handlers):
         logger.removeHandler(handler)
-    logger.addHandler(LineHandler(host))
+    logger.addHandler(JsonLineHandler(host))
     logger.propagate = False
     logging.set_verbosity(logging.INFO)
 
 
-class LineHandler(standard_logging.Handler):
+class JsonLineHandler(standard_logging.Handler):
     """Writes JSON lines to a file descriptor; drops and counts lines if it's full."""
 
     def __init__(self, host: str, descriptor: int = 1):
--- a/src/pepperstep/programs/relay_daemon.py
+++ b/src/pepperstep/programs/relay_daemon.py
@@ -19,7 +19,7 @@
 from pepperstep.adapters.files import FolderStorage
 from pepperstep.adapters.grpc_peers import GrpcPeers
 from pepperstep.adapters.http1 import Http1Connector, Http1Server, MetricsCalls
-from pepperstep.adapters.line_handler import set_up_lines
+from pepperstep.adapters.json_line_handler import set_up_json_logging
 from pepperstep.adapters.timers import TrioTimers
 from pepperstep.entities.routes import CallerLimits
 from pepperstep.errors import Failure, InvalidDocument
@@ -69,7 +69,7 @@
     if _CHECK in arguments:
         print("The settings are valid.")
         return
-    set_up_lines(settings.host)
+    set_up_json_logging(settings.host)
     try:
         trio.run(_run, settings)
     except* OSError as errors:
--- a/tests/relaying/test_lines.py
+++ b/tests/relaying/test_lines.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from pepperstep.adapters import line_handler
-from pepperstep.adapters.line_handler import LineHandler
+from pepperstep.adapters import json_line_handler
+from pepperstep.adapters.json_line_handler import JsonLineHandler
 from pepperstep.observability.decisions import RequestRefused
 from pepperstep.observability.relay_metrics import RelayMetrics
 
@@ -25,7 +25,7 @@
     os.close(writer)
 
 
-def log(handler: LineHandler, message: str, *arguments, line: int = 1) -> None:
+def log(handler: JsonLineHandler, message: str, *arguments, line: int = 1) -> None:
     """Hand the handler a record as logged at `line`."""
     record = logging.LogRecord(
         "absl", logging.INFO, "relay.py", line, message, arguments, None
@@ -40,7 +40,7 @@
 
 def test_event_becomes_fields_of_its_line(pipe):
     reader, writer = pipe
-    log(LineHandler("entry-1", writer), "relay: %s", EVENT)
+    log(JsonLineHandler("entry-1", writer), "relay: %s", EVENT)
     [line] = read(reader)
     assert (line["part"], line["event"]) == ("relay", "request_refused")
     assert (line["request"], line["retry_after_ms"]) == ("id-1", 300)
@@ -49,14 +49,14 @@
 
 def test_text_keeps_its_part(pipe):
     reader, writer = pipe
-    log(LineHandler("entry-1", writer), "sync: %s answers.", "10.0.0.1:1")
+    log(JsonLineHandler("entry-1", writer), "sync: %s answers.", "10.0.0.1:1")
     [line] = read(reader)
     assert (line["part"], line["message"]) == ("sync", "10.0.0.1:1 answers.")
 
 
 def test_full_pipe_loses_lines_and_counts_them(pipe):
     reader, writer = pipe
-    handler = LineHandler("entry-1", writer)
+    handler = JsonLineHandler("entry-1", writer)
     for _ in range(100):
         log(handler, "relay: %s", EVENT)
     kept = len(read(reader))
@@ -69,9 +69,9 @@
 def test_one_kind_does_not_use_up_the_others_volume(pipe, monkeypatch):
     reader, writer = pipe
     fcntl.fcntl(writer, fcntl.F_SETPIPE_SZ, 65_536)
-    monkeypatch.setattr(line_handler, "_BURST_LINES", 3.0)
-    monkeypatch.setattr(line_handler, "_LINES_PER_SECOND", 0.0)
-    handler = LineHandler("entry-1", writer)
+    monkeypatch.setattr(json_line_handler, "_BURST_LINES", 3.0)
+    monkeypatch.setattr(json_line_handler, "_LINES_PER_SECOND", 0.0)
+    handler = JsonLineHandler("entry-1", writer)
     for _ in range(5):
         log(handler, "relay: %s", EVENT, line=1)
     log(handler, "relay: other", line=2)
@@ -82,7 +82,7 @@
 
 def test_long_message_is_cut_to_one_write(pipe):
     reader, writer = pipe
-    log(LineHandler("entry-1", writer), "relay: %s", "x" * 100_000)
+    log(JsonLineHandler("entry-1", writer), "relay: %s", "x" * 100_000)
     [line] = read(reader)
     assert len(line["message"]) < 4_096
 
