--- a/src/pepperstep/adapters/http_api/__init__.py
+++ b/src/pepperstep/adapters/http_api/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP interface towards callers, upstreams and operators, as an ASGI application."""
+"""HTTP API for callers, upstreams and operators, as an ASGI application."""
 
 from pepperstep.adapters.http_api.app import Api
 from pepperstep.adapters.http_api.server import serve_api
--- a/src/pepperstep/adapters/http_api/announcements.py
+++ b/src/pepperstep/adapters/http_api/announcements.py
@@ -1,4 +1,4 @@
-"""Announcements of upstreams, as they come over HTTP (docs/INTERFACES.md)."""
+"""Announcements that upstreams send over HTTP (docs/INTERFACES.md)."""
 
 from typing import Annotated
 
@@ -24,7 +24,7 @@
 
 
 class ModelName(msgspec.Struct):
-    """A model that is loaded, with its adapter and version."""
+    """A loaded model with its adapter and version."""
 
     model: Annotated[str, msgspec.Meta(min_length=1, max_length=128)]
     adapter: _Label = ""
@@ -32,7 +32,7 @@
 
 
 class LoadReport(msgspec.Struct):
-    """Load as the upstream sees it."""
+    """Load as measured by the upstream."""
 
     running: _Requests = 0
     waiting: _Requests = 0
@@ -40,14 +40,14 @@
     decode_seconds: _Seconds = _IDLE.decode_seconds
 
     def to_load(self) -> Load:
-        """Return the load."""
+        """Convert to the domain type."""
         return Load(
             self.running, self.waiting, self.prefill_seconds, self.decode_seconds
         )
 
 
 class Announcement(msgspec.Struct):
-    """One heartbeat of an upstream's lease."""
+    """A heartbeat that renews an upstream's lease."""
 
     name: _Name
     epoch: _Number
@@ -65,12 +65,12 @@
     is_leaving: bool = False
     checks_fencing: bool = True
     is_reclaimable: bool = True
-    # Token of the last lease that this entry host gave, and how long it was held.
+    # Token of the last lease granted by this entry host, and the time since then.
     token: _Label = ""
     held_seconds: _Seconds = 0.0
 
     def to_upstream(self) -> Upstream:
-        """Return the upstream that announces itself."""
+        """Convert to the domain type, without the fields of the lease."""
         return Upstream(
             name=self.name,
             epoch=self.epoch,
@@ -93,20 +93,20 @@
 
 
 class AnnouncementAnswer(msgspec.Struct):
-    """What an upstream is told."""
+    """The renewed lease, in answer to an announcement."""
 
     lease_seconds: float
     heartbeat_seconds: float
-    # Base URLs at which it may announce itself.
+    # Base URLs of the entry hosts that accept announcements.
     entry_hosts: list[str]
-    # False for a heartbeat that came late; the upstream announces again at once.
+    # False if the heartbeat was late; the upstream must announce again at once.
     is_renewed: bool
-    # To send back to this entry host with the next heartbeat.
+    # Sent back to this entry host with the next heartbeat.
     token: str
 
     @classmethod
     def from_lease(cls, lease: Lease) -> "AnnouncementAnswer":
-        """Return the answer for a lease."""
+        """Return the answer that describes `lease`."""
         return cls(
             lease.seconds,
             lease.heartbeat_period,
@@ -120,7 +120,7 @@
 
 
 def parse_announcement(data: bytes) -> Announcement:
-    """Return the announcement, or raise `Failure` with `INVALID_REQUEST`."""
+    """Decode an announcement; raise `Failure` with `INVALID_REQUEST` on errors."""
     announcement = decode_body(_decode, data, "Announcement")
     if int(announcement.address.rpartition(":")[2]) > _MAX_PORT:
         raise _invalid("`address` has no valid port")
--- a/src/pepperstep/adapters/http_api/answers.py
+++ b/src/pepperstep/adapters/http_api/answers.py
@@ -1,4 +1,4 @@
-"""Sends answers to callers, streamed or whole."""
+"""Reads answers from the host and sends them to callers, streamed or whole."""
 
 from contextlib import aclosing
 
@@ -10,13 +10,13 @@
 from pepperstep.observability.recorder import Recorder
 from pepperstep.ports import Timers
 
-__all__ = ["Answers", "Pace"]
+__all__ = ["AnswerSender", "LatencyRecorder"]
 
 _EVENT_STREAM = b"text/event-stream; charset=utf-8"
 
 
-class Pace:
-    """Reports the times of one answer, from its request's arrival on."""
+class LatencyRecorder:
+    """Records the latencies of one answer, measured from the request's arrival."""
 
     def __init__(
         self, recorder: Recorder, timers: Timers, workspace: str, priority: Priority
@@ -26,27 +26,27 @@
         self._workspace = workspace
         self._priority = priority
         self._arrived_at = timers.now()
-        self._last_at: float | None = None
+        self._last_tokens_at: float | None = None
 
-    def note_tokens(self, count: int) -> None:
-        """Note that `count` tokens are there for the caller."""
+    def record_tokens(self, count: int) -> None:
+        """Record that `count` tokens are ready to be sent to the caller."""
         now = self._now()
-        if self._last_at is None:
+        if self._last_tokens_at is None:
             seconds = now - self._arrived_at
             self._recorder.note_first_token(self._workspace, self._priority, seconds)
         else:
-            seconds = (now - self._last_at) / count
+            seconds = (now - self._last_tokens_at) / count
             self._recorder.note_between_tokens(self._workspace, self._priority, seconds)
-        self._last_at = now
+        self._last_tokens_at = now
 
-    def note_end(self) -> None:
-        """Note that the whole answer is there."""
+    def record_end(self) -> None:
+        """Record that the answer is complete."""
         seconds = self._now() - self._arrived_at
         self._recorder.note_answered(self._workspace, self._priority, seconds)
 
 
-class Answers:
-    """Reads answers and hands them to callers until these leave."""
+class AnswerSender:
+    """Sends answers to callers until they are complete or the caller disconnects."""
 
     def __init__(self, node: EntryNode):
         self._node = node
@@ -57,9 +57,12 @@
         workspace: str,
         position: int,
         writer: ChunkWriter,
-        pace: Pace | None = None,
+        latencies: LatencyRecorder | None = None,
     ) -> None:
-        """Send the answer as server-sent events, from token `position` on."""
+        """Send the answer as server-sent events, starting at token `position`.
+
+        Raise `Failure` if the request failed.
+        """
 
         async def relay() -> None:
             parts = self._node.requests.read(call.request_id, workspace, position)
@@ -71,8 +74,8 @@
                     data = b""
                     if part.tokens:
                         data = writer.tokens(part.position, part.tokens)
-                        if pace is not None:
-                            pace.note_tokens(len(part.tokens))
+                        if latencies is not None:
+                            latencies.record_tokens(len(part.tokens))
                     if outcome is not None:
                         data += writer.end(outcome)
                     if not call.is_streaming:
@@ -84,15 +87,15 @@
                             "more_body": outcome is None,
                         }
                     )
-            if pace is not None:
-                pace.note_end()
+            if latencies is not None:
+                latencies.record_end()
 
         await until_disconnect(call, relay)
 
     async def read_whole(
-        self, call: Call, workspace: str, pace: Pace
+        self, call: Call, workspace: str, latencies: LatencyRecorder
     ) -> tuple[list[str], Outcome]:
-        """Return all tokens and the outcome; raise `Failure` if it has failed."""
+        """Return all tokens and the outcome; raise `Failure` if the request failed."""
         tokens: list[str] = []
         outcome: Outcome | None = None
 
@@ -103,7 +106,7 @@
                 async for part in parts:
                     if part.tokens:
                         tokens.extend(part.tokens)
-                        pace.note_tokens(len(part.tokens))
+                        latencies.record_tokens(len(part.tokens))
                     outcome = part.outcome
 
         await until_disconnect(call, collect)
@@ -113,12 +116,12 @@
             )
         if not outcome.is_answered:
             raise failure_of(outcome)
-        pace.note_end()
+        latencies.record_end()
         return tokens, outcome
 
 
 def failure_of(outcome: Outcome) -> Failure:
-    """Return the error that tells a failed outcome."""
+    """Convert a failed outcome to an exception."""
     return Failure(
         outcome.code,
         outcome.text,
--- a/src/pepperstep/adapters/http_api/app.py
+++ b/src/pepperstep/adapters/http_api/app.py
@@ -1,4 +1,4 @@
-"""Routes of the HTTP interface."""
+"""ASGI application that routes calls to the handlers of the HTTP API."""
 
 from collections.abc import Awaitable, Callable
 
@@ -8,7 +8,7 @@
     AnnouncementAnswer,
     parse_announcement,
 )
-from pepperstep.adapters.http_api.calls import CallerRoutes, entry_hosts_near
+from pepperstep.adapters.http_api.calls import CallerRoutes, nearby_entry_hosts
 from pepperstep.adapters.http_api.operators import OperatorRoutes
 from pepperstep.adapters.http_api.ports import EntryNode, Operators
 from pepperstep.adapters.http_api.web import (
@@ -26,8 +26,8 @@
 __all__ = ["Api"]
 
 _MAX_ANNOUNCEMENT_BYTES = 256 * 1024
-# Codes by which a host sends callers to others.
-_SENDS_AWAY = frozenset({Code.DRAINING, Code.NOT_READY})
+# Failures with these codes list other entry hosts for the caller to try.
+_REDIRECT_CODES = frozenset({Code.DRAINING, Code.NOT_READY})
 
 Route = Callable[[Call], Awaitable[Reply | None]]
 
@@ -35,7 +35,7 @@
 class Api:
     """ASGI application of one host.
 
-    Without `operators` there are no routes for these.
+    The operator API is available only if `operators` is given.
     """
 
     def __init__(
@@ -74,11 +74,13 @@
             return
         call = Call(scope, receive, send)
         try:
-            reply = await self._route_of(call)(call)
+            reply = await self._find_route(call)(call)
         except Failure as failure:
             await self._refuse(call, failure)
         except Exception:
-            logging.exception("api: %s %r failed.", call.method, call.path)
+            logging.exception(
+                "api: Error while handling %s %r.", call.method, call.path
+            )
             failure = Failure(
                 Code.INTERNAL, "Internal error.", execution=Execution.MAY_HAVE_RUN
             )
@@ -90,13 +92,13 @@
     async def _refuse(self, call: Call, failure: Failure) -> None:
         self._metrics.note_refused(failure.code)
         others: tuple[str, ...] = ()
-        if failure.code in _SENDS_AWAY:
-            hosts = entry_hosts_near(self._node)
+        if failure.code in _REDIRECT_CODES:
+            hosts = nearby_entry_hosts(self._node)
             own = self._node.host.name
             others = tuple(host.caller_url for host in hosts if host.name != own)
         await send_failure(call, failure, others)
 
-    def _route_of(self, call: Call) -> Route:
+    def _find_route(self, call: Call) -> Route:
         route = self._exact.get((call.method, call.path))
         if route is not None:
             return route
--- a/src/pepperstep/adapters/http_api/calls.py
+++ b/src/pepperstep/adapters/http_api/calls.py
@@ -1,49 +1,53 @@
-"""What callers ask for: completions, plain services, resumption and hosts."""
+"""Routes for callers: completions, plain services, stream resumption, entry hosts."""
 
 import msgspec
 
 from pepperstep.adapters.http_api import openai
-from pepperstep.adapters.http_api.answers import Answers, Pace
-from pepperstep.adapters.http_api.intake import Intake, kind_of, position_of
+from pepperstep.adapters.http_api.answers import AnswerSender, LatencyRecorder
 from pepperstep.adapters.http_api.ports import EntryNode
+from pepperstep.adapters.http_api.request_reader import (
+    RequestReader,
+    parse_event_id,
+    parse_request_kind,
+)
 from pepperstep.adapters.http_api.web import Call, Reply, json_reply
 from pepperstep.entities import Host, Request, RequestKind
 from pepperstep.errors import Code, Failure
 from pepperstep.observability.recorder import Recorder
 
-__all__ = ["CallerRoutes", "entry_hosts_near"]
+__all__ = ["CallerRoutes", "nearby_entry_hosts"]
 
 _WEIGHT = 1
-# For hosts of other regions, which are asked only if no other can be reached.
-_FAR_WEIGHT = 0
+# Weight of hosts in other regions, which are used only if no other is reachable.
+_OTHER_REGION_WEIGHT = 0
 
 
 class EntryHost(msgspec.Struct):
-    """An address that callers may use."""
+    """An entry host that callers may connect to."""
 
     name: str
     url: str
     zone: str
     region: str
-    # Share of the calls; 0 only if no other can be reached.
+    # Relative share of calls; 0 means only if no other host is reachable.
     weight: int
 
 
 class EntryHosts(msgspec.Struct):
-    """Addresses that callers may use for some time."""
+    """Entry hosts and how long callers may cache them."""
 
     entry_hosts: list[EntryHost]
     time_to_live_seconds: float
 
 
 class CallerRoutes:
-    """Routes for callers."""
+    """Handlers of the routes for callers."""
 
     def __init__(self, node: EntryNode, recorder: Recorder):
         self._node = node
         self._recorder = recorder
-        self._intake = Intake(node)
-        self._answers = Answers(node)
+        self._request_reader = RequestReader(node)
+        self._answers = AnswerSender(node)
 
     async def chat(self, call: Call) -> Reply | None:
         """Answer `/v1/chat/completions`."""
@@ -55,7 +59,7 @@
 
     async def list_models(self, call: Call) -> Reply:
         """Answer `/v1/models` with the deployments of the caller's workspace."""
-        caller = self._intake.caller_of(call)
+        caller = self._request_reader.authenticate(call)
         models = [
             {"id": name, "object": "model", "created": 0, "owned_by": "pepperstep"}
             for name, deployment in self._node.configuration.deployments.items()
@@ -72,7 +76,7 @@
                 host.caller_url,
                 host.zone,
                 host.region,
-                _WEIGHT if host.region == region else _FAR_WEIGHT,
+                _WEIGHT if host.region == region else _OTHER_REGION_WEIGHT,
             )
             for host in self._node.directory.entry_hosts()
             if host.caller_url
@@ -82,18 +86,18 @@
 
     async def call_service(self, call: Call) -> Reply:
         """Answer `/services/NAME/...` with the plain service's answer."""
-        request = await self._intake.read_service_call(call)
-        pace = self._pace_of(request)
+        request = await self._request_reader.read_service_call(call)
+        latencies = self._start_latencies(request)
         run = await self._node.requests.submit(request)
         call.request_id = run.id
-        _, outcome = await self._answers.read_whole(call, request.workspace, pace)
+        _, outcome = await self._answers.read_whole(call, request.workspace, latencies)
         answer = outcome.service
         headers = ((b"x-request-id", run.id.encode()),)
         return Reply(answer.status, answer.body, answer.content_type, headers)
 
     async def handle_request(self, call: Call) -> Reply | None:
         """Answer `/v1/requests/ID/events`, or a DELETE of `/v1/requests/ID`."""
-        caller = self._intake.caller_of(call)
+        caller = self._request_reader.authenticate(call)
         request_id, _, rest = call.path.removeprefix("/v1/requests/").partition("/")
         if (call.method, rest) == ("GET", "events"):
             await self._resume(call, request_id, caller.workspace)
@@ -104,25 +108,25 @@
         raise Failure(Code.UNKNOWN_NAME, text)
 
     async def _cancel(self, request_id: str, workspace: str) -> Reply:
-        kind_of(request_id)
+        parse_request_kind(request_id)
         if not await self._node.requests.cancel(request_id, workspace):
             raise Failure(Code.UNKNOWN_REQUEST, f"No host knows {request_id[:200]}.")
         return json_reply({"id": request_id, "is_cancelled": True})
 
     async def _resume(self, call: Call, request_id: str, workspace: str) -> None:
-        """Send the stream from the position in Last-Event-ID on."""
-        kind = kind_of(request_id)
+        """Resume the stream after the event named by Last-Event-ID."""
+        kind = parse_request_kind(request_id)
         if kind is RequestKind.SERVICE:
             raise Failure(Code.INVALID_REQUEST, "Only streams can be resumed.")
-        position = position_of(call.header("last-event-id"))
+        position = parse_event_id(call.header("last-event-id"))
         call.request_id = request_id
         writer = openai.ChunkWriter(kind, request_id, "")
         await self._answers.stream(call, workspace, position, writer)
 
     async def _generate(self, call: Call, kind: RequestKind) -> Reply | None:
-        position = position_of(call.header("last-event-id"))
-        request, body = await self._intake.read_generation(call, kind)
-        pace = self._pace_of(request)
+        position = parse_event_id(call.header("last-event-id"))
+        request, body = await self._request_reader.read_generation(call, kind)
+        latencies = self._start_latencies(request)
         run = await self._node.requests.submit(request)
         call.request_id = run.id
         prompt_tokens = openai.count_tokens(request.prompt)
@@ -130,23 +134,27 @@
             writer = openai.ChunkWriter(
                 kind, run.id, body.model, prompt_tokens, body.includes_usage
             )
-            await self._answers.stream(call, request.workspace, position, writer, pace)
+            await self._answers.stream(
+                call, request.workspace, position, writer, latencies
+            )
             return None
-        tokens, outcome = await self._answers.read_whole(call, request.workspace, pace)
+        tokens, outcome = await self._answers.read_whole(
+            call, request.workspace, latencies
+        )
         answer = openai.whole_answer(
             kind, run.id, body.model, prompt_tokens, tokens, outcome.finish
         )
         data = msgspec.json.encode(answer)
         return Reply(200, data, headers=((b"x-request-id", run.id.encode()),))
 
-    def _pace_of(self, request: Request) -> Pace:
-        return Pace(
+    def _start_latencies(self, request: Request) -> LatencyRecorder:
+        return LatencyRecorder(
             self._recorder, self._node.timers, request.workspace, request.priority
         )
 
 
-def entry_hosts_near(node: EntryNode) -> list[Host]:
-    """Return the entry hosts of the node's region, all if there are none."""
+def nearby_entry_hosts(node: EntryNode) -> list[Host]:
+    """Return the entry hosts in the node's region, or all if it has none."""
     hosts = [host for host in node.directory.entry_hosts() if host.caller_url]
-    near = [host for host in hosts if host.region == node.host.region]
-    return near or hosts
+    nearby = [host for host in hosts if host.region == node.host.region]
+    return nearby or hosts
--- a/src/pepperstep/adapters/http_api/connection.py
+++ b/src/pepperstep/adapters/http_api/connection.py
@@ -1,4 +1,4 @@
-"""One connection of a caller, by hypercorn's protocol with a shorter way out."""
+"""A caller's connection: hypercorn's protocol with fewer system calls for sending."""
 
 import socket
 from collections.abc import Awaitable, Callable
@@ -12,17 +12,17 @@
 
 __all__ = ["Application", "Connection"]
 
-# Application of ASGI.
+# ASGI application.
 Application = Callable[[dict, Callable, Callable], Awaitable[None]]
 
 
 class Connection(TCPServer):
-    """Connection that makes few calls of the system and waits only if it must.
+    """Connection that batches writes and sends without blocking where possible.
 
-    Hypercorn makes a call for each piece of an answer, and for each takes a lock
-    and opens a cancel scope, which costs as much as all the rest of relaying a
-    token. Here head and first piece go out together, as do the last two, and
-    nothing waits where the system takes all at once.
+    For each piece of an answer hypercorn makes a system call, acquires a lock and
+    opens a cancel scope, which costs as much as the rest of relaying a token. This
+    class sends the head with the first piece and the last piece with the end of
+    the body, and skips lock and cancel scope if the kernel accepts all the data.
     """
 
     def __init__(
@@ -36,41 +36,41 @@
             self._run_application, config, context, ConnectionState({}), stream
         )
         self._application = application
-        self._raw: socket.socket | None = None
-        # Data that waits for what goes out with it, None for nothing.
-        self._held: list[bytes] | None = None
+        self._raw_socket: socket.socket | None = None
+        # Data to be sent with the next flush, None while sends go out directly.
+        self._buffered: list[bytes] | None = None
 
     async def run(self) -> None:
-        """Serve the connection to its end."""
+        """Serve requests until the connection ends."""
         if not isinstance(self.stream, trio.SocketStream):
             await super().run()
             return
-        # The same descriptor, which the stream goes on to own.
-        self._raw = socket.socket(fileno=self.stream.socket.fileno())
+        # Shares the descriptor with the stream, which keeps its ownership.
+        self._raw_socket = socket.socket(fileno=self.stream.socket.fileno())
         try:
             await super().run()
         finally:
-            self._raw.detach()
-            self._raw = None
+            self._raw_socket.detach()
+            self._raw_socket = None
 
     async def protocol_send(self, event: Event) -> None:
-        """Send data, or do what else the protocol asks for."""
+        """Handle an event of the protocol; data is buffered or sent at once."""
         if not isinstance(event, RawData):
             await self._flush()
             await super().protocol_send(event)
-        elif self._held is not None:
-            self._held.append(event.data)
+        elif self._buffered is not None:
+            self._buffered.append(event.data)
         else:
             await self._send(event.data)
 
     async def _run_application(
         self, scope: dict, receive: Callable, send: Callable, *_: Callable
     ) -> None:
-        """Run the application for one request; called by hypercorn."""
+        """Run the application for one request, as hypercorn's callback."""
 
-        async def send_together(event: dict) -> None:
-            if self._held is None:
-                self._held = []
+        async def send_batched(event: dict) -> None:
+            if self._buffered is None:
+                self._buffered = []
             if event.get("more_body") or event["type"] == "http.response.start":
                 await send(event)
             else:
@@ -78,41 +78,41 @@
             if event["type"] != "http.response.start":
                 await self._flush()
 
-        await self._application(scope, receive, send_together)
+        await self._application(scope, receive, send_batched)
 
     async def _send_end(self, send: Callable, event: dict) -> None:
-        """Send an answer's last piece.
+        """Send an answer's last piece, shielded from cancellation.
 
-        Hypercorn tells the application that all is over while it's still to be
-        sent, and the application then ends what it does for the answer.
+        Hypercorn signals a disconnect to the application before the piece has been
+        sent, and the application then cancels its work on the answer.
         """
         with trio.CancelScope(shield=True):
             await send(event)
             await self._flush()
 
     async def _flush(self) -> None:
-        held = self._held
-        self._held = None
-        if held:
-            await self._send(b"".join(held))
+        buffered = self._buffered
+        self._buffered = None
+        if buffered:
+            await self._send(b"".join(buffered))
 
     async def _send(self, data: bytes) -> None:
-        if self._can_send_now():
-            data = self._send_now(data)
+        if self._can_send_nonblocking():
+            data = self._send_nonblocking(data)
         if data:
             await super().protocol_send(RawData(data=data))
 
-    def _can_send_now(self) -> bool:
-        """Whether the descriptor is open and nothing waits to be sent before."""
-        if self._raw is None or self.send_lock.locked():
+    def _can_send_nonblocking(self) -> bool:
+        """Whether the socket is open and no other send is in progress."""
+        if self._raw_socket is None or self.send_lock.locked():
             return False
         return self.stream.socket.fileno() >= 0
 
-    def _send_now(self, data: bytes) -> bytes:
-        """Send what the system takes and return what is left."""
+    def _send_nonblocking(self, data: bytes) -> bytes:
+        """Send without blocking; return the data that the kernel didn't accept."""
         try:
-            count = self._raw.send(data)
+            count = self._raw_socket.send(data)
         except OSError:
-            # Waiting, and errors too, are for the longer way.
+            # Blocking sends and errors are left to hypercorn.
             return data
         return data[count:]
--- a/src/pepperstep/adapters/http_api/openai.py
+++ b/src/pepperstep/adapters/http_api/openai.py
@@ -1,4 +1,4 @@
-"""Requests and answers in the form of the OpenAI interface."""
+"""Request and response bodies of the OpenAI API."""
 
 import time
 from typing import Annotated, Any
@@ -12,13 +12,13 @@
 __all__ = ["Body", "ChunkWriter", "count_tokens", "parse_body", "whole_answer"]
 
 _CHARACTERS_PER_TOKEN = 4
-_LONGEST_NAME = 200
+_MAX_NAME_LENGTH = 200
 
 _Count = Annotated[int, msgspec.Meta(ge=1, le=2**31 - 1)]
 _Seed = Annotated[int, msgspec.Meta(ge=-(2**63), le=2**63 - 1)]
 
-# Parameters that would change the answer and that engines aren't asked for,
-# with the values that change nothing.
+# Parameters that engines don't support, with the values that have no effect and are
+# therefore accepted.
 _UNSUPPORTED: dict[str, tuple[Any, ...]] = {
     "n": (None, 1),
     "best_of": (None, 1),
@@ -36,22 +36,22 @@
 
 
 class Message(msgspec.Struct):
-    """One message of a chat."""
+    """A chat message."""
 
     role: str
     content: str | list[dict[str, Any]] | None = None
 
 
 class StreamOptions(msgspec.Struct):
-    """What a streamed answer holds besides the text."""
+    """Options of a streamed answer."""
 
     include_usage: bool | None = False
 
 
 class Body(msgspec.Struct):
-    """The parts of a request body that are used; others are let pass."""
+    """The fields of a request body that are checked; others are ignored."""
 
-    model: Annotated[str, msgspec.Meta(min_length=1, max_length=_LONGEST_NAME)]
+    model: Annotated[str, msgspec.Meta(min_length=1, max_length=_MAX_NAME_LENGTH)]
     messages: list[Message] = []
     prompt: str | list[str] = ""
     max_tokens: _Count | None = None
@@ -59,10 +59,10 @@
     seed: _Seed | None = None
     stream: bool | None = False
     stream_options: StreamOptions | None = None
-    # Not used, but wrong types are refused.
+    # Ignored, but values of the wrong type are refused.
     temperature: float | None = None
     top_p: float | None = None
-    # Refused unless they change nothing; see `_UNSUPPORTED`.
+    # Refused unless the value has no effect; see `_UNSUPPORTED`.
     n: Any = None
     best_of: Any = None
     echo: Any = None
@@ -78,18 +78,18 @@
 
     @property
     def includes_usage(self) -> bool:
-        """Whether a streamed answer ends with the counts of tokens."""
+        """Whether a streamed answer ends with the token counts."""
         options = self.stream_options
         return options is not None and bool(options.include_usage)
 
     def to_prompt(self, kind: RequestKind) -> str:
-        """Return the prompt as one text."""
+        """Return the prompt as a single text."""
         if kind is RequestKind.CHAT:
             return "\n".join(f"{m.role}: {_text_of(m.content)}" for m in self.messages)
         return self.prompt if isinstance(self.prompt, str) else self.prompt[0]
 
     def token_limit(self, default: int) -> int:
-        """Return the number of tokens asked for."""
+        """Return the requested maximum number of tokens, or `default`."""
         return self.max_completion_tokens or self.max_tokens or default
 
 
@@ -97,12 +97,12 @@
 
 
 def count_tokens(text: str) -> int:
-    """Return about how many tokens a prompt has, at least one."""
+    """Estimate the number of tokens in a prompt, at least one."""
     return max(1, len(text) // _CHARACTERS_PER_TOKEN)
 
 
 def parse_body(data: bytes, kind: RequestKind) -> Body:
-    """Return the body; raise `Failure` with `INVALID_REQUEST` if it's wrong."""
+    """Decode a body; raise `Failure` with `INVALID_REQUEST` if it's invalid."""
     body = decode_body(_decode, data, "Body")
     if kind is RequestKind.CHAT and not body.messages:
         raise Failure(Code.INVALID_REQUEST, "Body: `messages` is empty.")
@@ -116,9 +116,9 @@
 
 
 class ChunkWriter:
-    """Writes the events of one streamed answer.
+    """Encodes the server-sent events of one streamed answer.
 
-    Each event with tokens has an id, from which another connection goes on.
+    Each event with tokens has an id, at which another connection can resume.
     """
 
     def __init__(
@@ -152,7 +152,7 @@
         self._end = choice + empty + b',"finish_reason":%s}' + tail
 
     def tokens(self, position: int, tokens: list[str]) -> bytes:
-        """Return the event with `tokens`, the first of which is at `position`."""
+        """Return the event for `tokens`, whose first token has `position`."""
         self._position = position + len(tokens)
         return b"%s%d%s%s%s" % (
             self._id,
@@ -163,7 +163,7 @@
         )
 
     def end(self, outcome: Outcome) -> bytes:
-        """Return the last events of a whole answer."""
+        """Return the events that end the answer."""
         end = self._end % msgspec.json.encode(outcome.finish)
         if not self._includes_usage:
             return end + b"data: [DONE]\n\n"
@@ -180,7 +180,7 @@
     tokens: list[str],
     finish: str,
 ) -> dict:
-    """Return an answer that isn't streamed."""
+    """Return the body of an answer that isn't streamed."""
     text = "".join(tokens)
     if kind is RequestKind.CHAT:
         name = "chat.completion"
--- a/src/pepperstep/adapters/http_api/operators.py
+++ b/src/pepperstep/adapters/http_api/operators.py
@@ -1,4 +1,4 @@
-"""What operators ask of a host, under `/operator/v1/`."""
+"""Operator API of a host, under `/operator/v1/`."""
 
 from typing import Protocol
 
@@ -31,8 +31,8 @@
 
 _CHANGE_SECONDS = 10.0
 _MAX_BODY_BYTES = 1024 * 1024
-_DEFAULT_EVENTS = 100
-_MAX_EVENTS = 1000
+_DEFAULT_EVENT_COUNT = 100
+_MAX_EVENT_COUNT = 1000
 _CHANGE_STATUS = {
     ChangeStatus.ACCEPTED: 200,
     ChangeStatus.CONFLICT: 409,
@@ -51,13 +51,13 @@
 
 
 class OperatorRoutes:
-    """Routes for operators, who show their key with each call."""
+    """Routes for operators, who authenticate each call with their key."""
 
     def __init__(self, node: EntryNode, operators: Operators):
         self._node = node
         self._operators = operators
         self._routes: dict[tuple[str, str], _Route] = {
-            ("GET", "status"): self._tell_status,
+            ("GET", "status"): self._show_status,
             ("GET", "hosts"): self._list_hosts,
             ("GET", "upstreams"): self._list_upstreams,
             ("GET", "events"): self._list_events,
@@ -67,8 +67,8 @@
         }
 
     async def answer(self, call: Call) -> Reply:
-        """Answer one call."""
-        operator = self._operator_of(call)
+        """Authenticate the operator and answer the call."""
+        operator = self._authenticate(call)
         name = call.path.removeprefix(OPERATOR_PREFIX)
         if call.method == "GET" and name.startswith("explain/"):
             return self._explain(name.removeprefix("explain/"))
@@ -78,7 +78,7 @@
             raise Failure(Code.UNKNOWN_NAME, text)
         return await route(call, operator)
 
-    def _operator_of(self, call: Call) -> str:
+    def _authenticate(self, call: Call) -> str:
         configuration = self._node.configuration
         if not configuration.revision:
             raise Failure(
@@ -90,7 +90,7 @@
             raise Failure(Code.UNAUTHORIZED, "The operator's key is not known.")
         return operator
 
-    async def _tell_status(self, call: Call, operator: str) -> Reply:
+    async def _show_status(self, call: Call, operator: str) -> Reply:
         return json_reply(self._operators.status())
 
     async def _list_hosts(self, call: Call, operator: str) -> Reply:
@@ -100,14 +100,16 @@
         return json_reply(UpstreamsView(self._operators.upstreams()))
 
     async def _list_events(self, call: Call, operator: str) -> Reply:
-        limit = min(_number_of(call, "limit", _DEFAULT_EVENTS), _MAX_EVENTS)
-        after = _number_of(call, "after", -1)
+        limit = min(
+            _parse_number(call, "limit", _DEFAULT_EVENT_COUNT), _MAX_EVENT_COUNT
+        )
+        after = _parse_number(call, "after", -1)
         events = self._operators.events
-        found = events.last(limit) if after < 0 else events.after(after, limit)
-        return json_reply(EventsView(found))
+        events_found = events.last(limit) if after < 0 else events.after(after, limit)
+        return json_reply(EventsView(events_found))
 
     async def _show_configuration(self, call: Call, operator: str) -> Reply:
-        return json_reply(_view_of(self._operators.store))
+        return json_reply(_configuration_view(self._operators.store))
 
     async def _change_configuration(self, call: Call, operator: str) -> Reply:
         data = await call.read_body(_MAX_BODY_BYTES, self._node.timers)
@@ -142,7 +144,7 @@
         return json_reply(explanation)
 
 
-def _view_of(store: ConfigurationSource) -> ConfigurationView:
+def _configuration_view(store: ConfigurationSource) -> ConfigurationView:
     revision = store.current.revision
     texts = [(BASE, store.text_of(BASE))]
     texts += [(site, store.text_of(site)) for site in sorted(store.current.sites)]
@@ -157,7 +159,7 @@
     return ConfigurationView(revision, values, views)
 
 
-def _number_of(call: Call, name: str, default: int) -> int:
+def _parse_number(call: Call, name: str, default: int) -> int:
     text = call.query(name)
     if not text:
         return default
--- a/src/pepperstep/adapters/http_api/ports.py
+++ b/src/pepperstep/adapters/http_api/ports.py
@@ -1,7 +1,7 @@
-"""What the HTTP interface needs of the host that it belongs to.
+"""Interfaces that the HTTP API requires of its host.
 
-`pepperstep.node.Node` must have the members of `EntryNode`; what operators ask
-for may stand on the node or on an object of its own, as `Operators`.
+`pepperstep.node.Node` implements `EntryNode`; `Operators` may be implemented by the
+node or by a separate object.
 """
 
 from collections.abc import AsyncGenerator
@@ -18,7 +18,7 @@
 from pepperstep.requests import Part
 
 __all__ = [
-    "Accepted",
+    "AcceptedRequest",
     "ConfigurationSource",
     "EntryNode",
     "Operators",
@@ -27,30 +27,30 @@
 ]
 
 
-class Accepted(Protocol):
-    """A request that will be answered."""
+class AcceptedRequest(Protocol):
+    """A request that was accepted."""
 
     @property
     def id(self) -> str:
-        """Id of the request, of an earlier one if it had the same key."""
+        """Id of the request, or of the earlier one with the same idempotency key."""
 
 
 class RequestSource(Protocol):
-    """Requests as callers hand them in and read them."""
+    """Accepts callers' requests and gives access to their answers."""
 
-    async def submit(self, request: Request) -> Accepted:
-        """Accept a request, or find the earlier one of its idempotency key.
+    async def submit(self, request: Request) -> AcceptedRequest:
+        """Accept a request, or return the earlier one with its idempotency key.
 
-        Raise `Failure` if it isn't accepted; it has not run then.
+        Raise `Failure` if it's refused; it has not run in this case.
         """
 
     async def cancel(self, request_id: str, workspace: str) -> bool:
-        """Stop a request; return whether it was found."""
+        """Cancel a request; return whether it was found."""
 
     def read(
         self, request_id: str, workspace: str, position: int = 0
     ) -> AsyncGenerator[Part, None]:
-        """Yield the answer's parts from token `position` on, then the outcome."""
+        """Yield the answer's parts starting at token `position`, then the outcome."""
 
 
 class UpstreamRegistry(Protocol):
@@ -59,11 +59,11 @@
     def announce(
         self, upstream: Upstream, sequence: int, token: str = "", held: float = 0.0
     ) -> Lease:
-        """Renew a lease; `token` came with the last one, `held` seconds ago."""
+        """Renew a lease; `token` is from the last one, granted `held` seconds ago."""
 
 
 class EntryNode(Protocol):
-    """The host as callers and upstreams meet it."""
+    """The parts of a host that serve callers and upstreams."""
 
     host: Host
     timers: Timers
@@ -73,28 +73,28 @@
 
     @property
     def configuration(self) -> Configuration:
-        """The configuration in force, of revision 0 while none is known."""
+        """The configuration in force; its revision is 0 before any is known."""
 
     def reasons_not_ready(self) -> list[str]:
-        """Return why this host should get no requests now."""
+        """Return the reasons why this host isn't ready, none if it's ready."""
 
 
 class ConfigurationSource(Protocol):
-    """The configuration's documents and how they change."""
+    """Reads and changes the documents of the configuration."""
 
     @property
     def current(self) -> Configuration:
         """The configuration in force."""
 
     def text_of(self, document: str) -> str:
-        """Return the text of the base or of a site's overlay, "" for none."""
+        """Return the text of the base or a site's overlay, "" if it doesn't exist."""
 
     async def apply_change(self, change: Change, timeout: float) -> ChangeAnswer:
-        """Return how the change ended; raise `Failure` with `NO_QUORUM`."""
+        """Apply a change and return its result; raise `Failure` with `NO_QUORUM`."""
 
 
 class Operators(Protocol):
-    """What operators ask of a host."""
+    """The parts of a host that serve operators."""
 
     events: EventLog
     explanations: Explanations
@@ -107,14 +107,14 @@
         """Return the state of this host."""
 
     def hosts(self) -> list[HostView]:
-        """Return the hosts that this one knows, itself included."""
+        """Return the hosts known to this one, including itself."""
 
     def upstreams(self) -> list[UpstreamView]:
-        """Return the upstreams with a lease, leaving ones included."""
+        """Return the upstreams with a lease, including leaving ones."""
 
     async def drain(self, host: str) -> None:
-        """Let a host leave: it takes nothing new and ends what it has.
+        """Drain a host: it accepts no new requests and finishes in-flight ones.
 
-        Return once the host has agreed. Raise `Failure` with `UNKNOWN_NAME` or
-        `PEER_UNREACHABLE`.
+        Return once the host has acknowledged the order. Raise `Failure` with
+        `UNKNOWN_NAME` or `PEER_UNREACHABLE`.
         """
--- a/src/pepperstep/adapters/http_api/server.py
+++ b/src/pepperstep/adapters/http_api/server.py
@@ -1,4 +1,4 @@
-"""Serves the ASGI application by hypercorn, within a limit on connections."""
+"""Serves the ASGI application with hypercorn and limits the open connections."""
 
 import socket
 from collections.abc import Awaitable, Callable
@@ -18,22 +18,22 @@
 _KEEP_ALIVE_SECONDS = 30.0
 _HANDSHAKE_SECONDS = 10.0
 _GRACEFUL_SECONDS = 3600.0
-# Time in which a caller must take what it was sent.
-_UNTAKEN_SECONDS = 30
+# TCP_USER_TIMEOUT: how long sent data may stay unacknowledged by a caller.
+_UNACKNOWLEDGED_SECONDS = 30
 _BACKLOG = 1024
-# Requests on one connection; afterwards the caller chooses a host again.
+# After this many requests on a connection the caller must choose a host again.
 _MAX_KEEP_ALIVE_REQUESTS = 10_000
-# Longer headers get a bare 431, as they can't be read to the end.
-_LONGEST_HEADERS = 256 * 1024
+# Larger headers get a 431 without body, because they can't be read completely.
+_MAX_HEADER_BYTES = 256 * 1024
 
-_TOO_MANY = (
+_REFUSAL = (
     b"HTTP/1.1 503 Service Unavailable\r\n"
     b"content-type: application/json\r\n"
     b"content-length: %d\r\n"
     b"retry-after: 1\r\nx-should-retry: true\r\nx-execution: not_run\r\n"
     b"connection: close\r\n\r\n%s"
 )
-_TOO_MANY_BODY = (
+_REFUSAL_BODY = (
     b'{"error":{"message":"Too many connections.","type":"overloaded",'
     b'"code":"overloaded","param":null,"execution":"not_run","retry_after":1.0}}'
 )
@@ -46,12 +46,12 @@
     stop: Callable[[], Awaitable[None]],
     task_status=trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve until `stop` returns, then let open requests end.
+    """Serve until `stop` returns, then finish the in-flight requests.
 
-    `limits` returns those in force, which may change meanwhile. Raise OSError if
-    the address can't be listened on.
+    `limits` returns the limits in force, which may change while serving. Raise
+    OSError if the address can't be bound.
     """
-    config = _config_of(settings)
+    config = _make_config(settings)
     listeners = _open_listeners(config)
     server = _Server(application, config, limits)
     async with trio.open_nursery() as connections:
@@ -71,7 +71,7 @@
 
 
 class _Server:
-    """Handles connections, each by hypercorn's protocol."""
+    """Serves connections with hypercorn's protocol."""
 
     def __init__(
         self,
@@ -83,28 +83,28 @@
         self._config = config
         self._limits = limits
         self._context = WorkerContext(None)
-        self._open = 0
+        self._open_connections = 0
 
     async def handle(self, stream: trio.abc.Stream) -> None:
-        """Serve one connection to its end, or refuse it."""
-        if self._open >= self._limits().max_connections:
+        """Serve a connection, or refuse it at the limit on connections."""
+        if self._open_connections >= self._limits().max_connections:
             await _refuse(stream)
             return
-        self._open += 1
+        self._open_connections += 1
         try:
             await Connection(self._application, self._config, self._context, stream)
         except Exception:
-            # One connection's fault must not end the others.
-            logging.exception("api: A connection failed.")
+            # An error on one connection must not stop the server.
+            logging.exception("api: Error while serving a connection.")
         finally:
-            self._open -= 1
+            self._open_connections -= 1
 
     async def close_idle(self) -> None:
-        """Close connections as soon as they have no open request."""
+        """Close each connection once it has no in-flight request."""
         await self._context.terminated.set()
 
 
-def _config_of(settings: Settings) -> hypercorn.config.Config:
+def _make_config(settings: Settings) -> hypercorn.config.Config:
     config = hypercorn.config.Config()
     config.bind = [settings.host.caller_address]
     config.backlog = _BACKLOG
@@ -115,7 +115,7 @@
     config.keep_alive_max_requests = _MAX_KEEP_ALIVE_REQUESTS
     config.ssl_handshake_timeout = _HANDSHAKE_SECONDS
     config.include_server_header = False
-    config.h11_max_incomplete_size = _LONGEST_HEADERS
+    config.h11_max_incomplete_size = _MAX_HEADER_BYTES
     if settings.tls.caller_certificate:
         config.certfile = settings.tls.caller_certificate
         config.keyfile = settings.tls.caller_key
@@ -127,7 +127,7 @@
     context = config.create_ssl_context()
     listeners = []
     for each in (*sockets.secure_sockets, *sockets.insecure_sockets):
-        _bound_sending(each)
+        _limit_unacknowledged_time(each)
         each.listen(config.backlog)
         listener = trio.SocketListener(trio.socket.from_stdlib_socket(each))
         if context is not None:
@@ -136,17 +136,17 @@
     return listeners
 
 
-def _bound_sending(listening: socket.socket) -> None:
-    """Let the system cut connections whose caller takes nothing any more."""
+def _limit_unacknowledged_time(listening: socket.socket) -> None:
+    """Let the kernel close connections whose caller acknowledges no data."""
     option = getattr(socket, "TCP_USER_TIMEOUT", None)
     if option is not None:
-        listening.setsockopt(socket.IPPROTO_TCP, option, _UNTAKEN_SECONDS * 1000)
+        listening.setsockopt(socket.IPPROTO_TCP, option, _UNACKNOWLEDGED_SECONDS * 1000)
 
 
 async def _refuse(stream: trio.abc.Stream) -> None:
     with trio.move_on_after(1.0):
         try:
-            await stream.send_all(_TOO_MANY % (len(_TOO_MANY_BODY), _TOO_MANY_BODY))
+            await stream.send_all(_REFUSAL % (len(_REFUSAL_BODY), _REFUSAL_BODY))
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             return
         finally:
--- a/src/pepperstep/adapters/http_api/web.py
+++ b/src/pepperstep/adapters/http_api/web.py
@@ -1,4 +1,4 @@
-"""Typed pieces of HTTP over ASGI: calls, replies and errors."""
+"""Typed calls, replies and errors on top of ASGI."""
 
 import math
 from collections.abc import Awaitable, Callable
@@ -24,14 +24,14 @@
 Receive = Callable[[], Awaitable[dict]]
 Send = Callable[[dict], Awaitable[None]]
 
-# Time in which a whole body must arrive.
+# Time limit for receiving a whole body.
 _BODY_SECONDS = 30.0
-# What is read of a refused body, so that its sender gets to see the refusal.
+# Limits on reading the rest of a refused body, so that its sender gets the refusal.
 _DISCARD_SECONDS = 2.0
 _DISCARD_BYTES = 64 * 1024 * 1024
-# Clients take a longer `Retry-After` for none and come back at once.
-_LONGEST_REPEAT_SECONDS = 60.0
-# Headers whose second value would contradict the first.
+# Clients ignore a longer `Retry-After` and retry at once.
+_MAX_RETRY_AFTER_SECONDS = 60.0
+# Headers that may occur only once.
 _SINGLE_HEADERS = frozenset(
     {
         b"authorization",
@@ -44,7 +44,7 @@
     }
 )
 
-# HTTP status of each code; 500 for the others.
+# HTTP status by code; 500 for codes not listed.
 _STATUS = {
     Code.INVALID_REQUEST: 400,
     Code.BODY_TOO_LARGE: 413,
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A whole answer."""
+    """A complete HTTP response."""
 
     status: int
     body: bytes
@@ -90,16 +90,16 @@
 
 
 class Call:
-    """One HTTP request as ASGI gives it."""
+    """An HTTP request received over ASGI."""
 
     def __init__(self, scope: dict, receive: Receive, send: Send):
         self.method: str = scope["method"]
         self.path: str = scope["path"]
         self.receive = receive
         self.send = send
-        # Id of the request that the call has become, "" before.
+        # Id of the accepted request, "" before it's accepted.
         self.request_id = ""
-        # Whether the first event of a streamed answer has been sent.
+        # Whether the head of a streamed answer has been sent.
         self.is_streaming = False
         self.is_body_read = False
         self._scope = scope
@@ -107,20 +107,20 @@
 
     @property
     def key(self) -> str:
-        """The bearer key, "" if there is none."""
+        """The bearer token, "" if there is none."""
         scheme, _, key = self.header("authorization").partition(" ")
         return key.strip() if scheme.lower() == "bearer" else ""
 
     @property
     def target(self) -> str:
-        """Path and query as they were sent, not decoded."""
+        """Path and query as sent, without decoding."""
         path = self._scope.get("raw_path") or self.path.encode()
         query = self._scope["query_string"]
         target = path + b"?" + query if query else path
         return target.decode("latin-1")
 
     def header(self, name: str) -> str:
-        """Return a header's value by its name in lower case, "" if missing."""
+        """Return the value of header `name` (lower case), "" if missing."""
         return self._headers.get(name.encode(), b"").decode("latin-1")
 
     def query(self, name: str) -> str:
@@ -129,7 +129,7 @@
         return parse_qs(text, max_num_fields=100).get(name, [""])[0]
 
     def check_headers(self, max_bytes: int) -> None:
-        """Raise `Failure` if the headers are too long or contradict themselves."""
+        """Raise `Failure` if headers exceed `max_bytes` or repeat a single one."""
         headers = self._scope["headers"]
         size = sum(len(name) + len(value) for name, value in headers)
         if size > max_bytes:
@@ -144,32 +144,32 @@
     async def read_body(self, max_bytes: int, timers: Timers) -> bytes:
         """Return the whole body.
 
-        Raise `Failure`: `BODY_TOO_LARGE`, `INVALID_REQUEST` if it doesn't
-        arrive in time, or `CANCELLED` if the caller left.
+        Raise `Failure`: `BODY_TOO_LARGE`, `INVALID_REQUEST` if it doesn't arrive
+        in time, or `CANCELLED` if the caller disconnects.
         """
         length = self.header("content-length")
         if length.isdecimal() and int(length) > max_bytes:
             raise _too_large(max_bytes)
         with timers.move_on_after(_BODY_SECONDS):
-            return await self._read_events(max_bytes)
+            return await self._receive_body(max_bytes)
         raise _invalid(f"The body didn't arrive within {_BODY_SECONDS:.0f} s.")
 
     async def discard_body(self) -> None:
-        """Read what is left of the body, up to some bytes and seconds."""
+        """Read and discard the rest of the body, within limits on time and size."""
         size = 0
         with trio.move_on_after(_DISCARD_SECONDS):
             while not self.is_body_read and size < _DISCARD_BYTES:
-                size += len(await self._read_event())
+                size += len(await self._receive_body_part())
 
-    async def _read_events(self, max_bytes: int) -> bytes:
+    async def _receive_body(self, max_bytes: int) -> bytes:
         body = bytearray()
         while not self.is_body_read:
-            body += await self._read_event()
+            body += await self._receive_body_part()
             if len(body) > max_bytes:
                 raise _too_large(max_bytes)
         return bytes(body)
 
-    async def _read_event(self) -> bytes:
+    async def _receive_body_part(self) -> bytes:
         event = await self.receive()
         if event["type"] == "http.disconnect":
             self.is_body_read = True
@@ -179,9 +179,9 @@
 
 
 def decode_body(decode: Callable[[bytes], object], data: bytes, name: str):
-    """Return the message that `decode` makes of `data`.
+    """Return `decode(data)`; `name` names the message in errors.
 
-    Raise `Failure` with `INVALID_REQUEST` if it makes none.
+    Raise `Failure` with `INVALID_REQUEST` if it can't be decoded.
     """
     try:
         return decode(data)
@@ -192,19 +192,19 @@
 
 
 def json_reply(value: object, status: int = 200) -> Reply:
-    """Return `value` as JSON."""
+    """Return a reply with `value` as JSON."""
     return Reply(status, msgspec.json.encode(value))
 
 
 async def until_disconnect(call: Call, job: Callable[[], Awaitable[None]]) -> None:
-    """Run `job`, which is cancelled when the caller leaves."""
+    """Run `job`, and cancel it if the caller disconnects."""
     failure = None
     async with trio.open_nursery() as nursery:
         nursery.start_soon(_cancel_at_disconnect, call, nursery.cancel_scope)
         try:
             await job()
         except Failure as error:
-            # Outside of the nursery, which would wrap it.
+            # Raised after the nursery, which would wrap it in an exception group.
             failure = error
         nursery.cancel_scope.cancel()
     if failure is not None:
@@ -212,7 +212,7 @@
 
 
 async def send_reply(send: Send, reply: Reply) -> None:
-    """Send a whole answer."""
+    """Send a complete response."""
     await send(_start_event(reply))
     await send({"type": "http.response.body", "body": reply.body})
 
@@ -220,11 +220,11 @@
 async def send_failure(
     call: Call, failure: Failure, entry_hosts: tuple[str, ...] = ()
 ) -> None:
-    """Send an error with its code, its execution and when to come back.
+    """Send an error response with code, execution and time to retry.
 
-    `entry_hosts` are URLs of others to ask.
+    `entry_hosts` are URLs of other entry hosts that the caller can try.
     """
-    body = msgspec.json.encode({"error": _error_of(failure, entry_hosts)})
+    body = msgspec.json.encode({"error": _error_object(failure, entry_hosts)})
     if call.is_streaming:
         event = b"event: error\ndata: " + body + b"\n\n"
         await call.send({"type": "http.response.body", "body": event})
@@ -235,11 +235,11 @@
     if call.is_body_read:
         await send_reply(call.send, reply)
         return
-    # The whole answer goes out, but a caller that still sends its body must not
-    # have its connection cut before it has read the answer.
+    # The connection is closed only after the rest of the body has been read. A caller
+    # that is still sending would otherwise lose the answer to a connection reset.
     await call.send(_start_event(reply))
     await call.send({"type": "http.response.body", "body": body, "more_body": True})
-    await _discard(call)
+    await _discard_body(call)
     await call.send({"type": "http.response.body", "body": b""})
 
 
@@ -255,7 +255,7 @@
 def _failure_headers(call: Call, failure: Failure) -> list[tuple[bytes, bytes]]:
     headers = [
         (b"x-execution", failure.execution.encode()),
-        (b"x-should-retry", b"true" if _should_repeat(failure) else b"false"),
+        (b"x-should-retry", b"true" if _should_retry(failure) else b"false"),
     ]
     if call.request_id:
         headers.append((b"x-request-id", call.request_id.encode()))
@@ -269,18 +269,18 @@
     return headers
 
 
-def _should_repeat(failure: Failure) -> bool:
-    """Whether a client may repeat the call without asking anyone.
+def _should_retry(failure: Failure) -> bool:
+    """Whether a client may retry the call automatically after `retry_after`.
 
-    Not what may have run, and not before the time that it's told.
+    Calls that may have run must not be retried automatically.
     """
     if failure.retry_after is None or failure.execution is not Execution.NOT_RUN:
         return False
-    return failure.retry_after <= _LONGEST_REPEAT_SECONDS
+    return failure.retry_after <= _MAX_RETRY_AFTER_SECONDS
 
 
-def _error_of(failure: Failure, entry_hosts: tuple[str, ...]) -> dict:
-    """Return an error in the form of the OpenAI interface."""
+def _error_object(failure: Failure, entry_hosts: tuple[str, ...]) -> dict:
+    """Return an error object of the OpenAI API."""
     error = {
         "message": failure.text,
         "type": failure.code,
@@ -294,7 +294,7 @@
     return error
 
 
-async def _discard(call: Call) -> None:
+async def _discard_body(call: Call) -> None:
     try:
         await call.discard_body()
     except Failure:
