--- a/src/pepperstep/adapters/files.py
+++ b/src/pepperstep/adapters/files.py
@@ -1,4 +1,4 @@
-"""Storage in the files of one folder."""
+"""Durable storage in the files of a folder."""
 
 import os
 from pathlib import Path
@@ -11,17 +11,17 @@
 
 
 class FolderStorage:
-    """Files under `folder`, which is made if missing.
+    """Stores files in `folder`, which is created if it doesn't exist.
 
-    Disk work runs in threads, so that a slow disk doesn't stop the loop.
+    Disk operations run in threads, so that a slow disk doesn't block the trio loop.
     """
 
     def __init__(self, folder: Path):
         self._folder = folder
         self._folder.mkdir(parents=True, exist_ok=True)
         self._open_files: dict[str, int] = {}
-        # Files whose name isn't yet known to be durable.
-        self._new_names: set[str] = set()
+        # Files whose directory entry hasn't been synced yet.
+        self._unsynced_names: set[str] = set()
 
     async def names(self) -> list[str]:
         """Return the names of all files, sorted."""
@@ -29,31 +29,31 @@
         return sorted(name for name in names if not name.endswith(_TEMPORARY_SUFFIX))
 
     async def read(self, name: str) -> bytes | None:
-        """Return the whole content, None if there is no such file."""
+        """Return the content of the file, None if it doesn't exist."""
         try:
             return await trio.to_thread.run_sync((self._folder / name).read_bytes)
         except FileNotFoundError:
             return None
 
     async def append(self, name: str, data: bytes) -> None:
-        """Write `data` at the end of the file."""
+        """Append `data` to the file, which is created if it doesn't exist."""
         descriptor = self._open(name)
         await trio.to_thread.run_sync(_write_all, descriptor, data)
 
     async def sync(self, name: str) -> None:
-        """Return once the file and its name are durable."""
+        """Return once the file's data and its directory entry are durable."""
         await trio.to_thread.run_sync(os.fdatasync, self._open(name))
-        if name in self._new_names:
+        if name in self._unsynced_names:
             await trio.to_thread.run_sync(self._sync_folder)
-            self._new_names.discard(name)
+            self._unsynced_names.discard(name)
 
     async def replace(self, name: str, data: bytes) -> None:
-        """Put `data` in place of the content, durably and all at once."""
+        """Replace the content by `data`, atomically and durably."""
         self._close(name)
         await trio.to_thread.run_sync(self._replace_blocking, name, data)
 
     async def truncate(self, name: str, size: int) -> None:
-        """Cut the file to its first `size` bytes, durably."""
+        """Truncate the file to `size` bytes, durably."""
         descriptor = self._open(name)
         await trio.to_thread.run_sync(os.ftruncate, descriptor, size)
         await trio.to_thread.run_sync(os.fsync, descriptor)
@@ -73,7 +73,7 @@
         if name not in self._open_files:
             path = self._folder / name
             if not path.exists():
-                self._new_names.add(name)
+                self._unsynced_names.add(name)
             flags = os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC
             self._open_files[name] = os.open(path, flags, 0o600)
         return self._open_files[name]
--- a/src/pepperstep/adapters/http_cloud.py
+++ b/src/pepperstep/adapters/http_cloud.py
@@ -1,4 +1,4 @@
-"""Client of the cloud API over HTTP (docs/interfaces-platform.md)."""
+"""HTTP client for the cloud API (docs/interfaces-platform.md)."""
 
 from typing import Annotated
 from urllib.parse import quote
@@ -17,7 +17,7 @@
 
 __all__ = ["HttpCloud"]
 
-# Statuses by which the cloud says that it has no such host now.
+# Statuses with which the cloud refuses to start a host because none is available.
 _REFUSALS = frozenset({409, 429, 503})
 
 _Price = Annotated[float, msgspec.Meta(ge=0)]
@@ -71,13 +71,13 @@
 
 
 class HttpCloud:
-    """Cloud API at a base URL."""
+    """Client of the cloud API at a base URL."""
 
     def __init__(self, url: str, key: str = "", ssl_context=None):
         self._client = PlatformClient(url, key, ssl_context)
 
     async def list_offers(self) -> list[Offer]:
-        """Return what can be asked for."""
+        """Return the offered machines with their prices."""
         answer = await self._client.call("GET", "/cloud/v1/offers")
         return [
             Offer(each.zone, each.machine, each.price_class, each.price)
@@ -91,7 +91,10 @@
         return [host for host in hosts if host.state is not HostState.STOPPED]
 
     async def start_host(self, token: str, offer: Offer, deployment: str) -> CloudHost:
-        """Start a host, or return the one that was started with this token."""
+        """Start a host, or return the one already started with this token.
+
+        Raise `StartRefused` if the cloud refuses to start it.
+        """
         content = _Start(
             token, offer.zone, offer.machine, offer.price_class, deployment
         )
@@ -101,14 +104,14 @@
         return answer.decode(_Host).to_host()
 
     async def stop_host(self, host_id: str) -> None:
-        """Stop a host; one that isn't known has stopped."""
+        """Stop a host; an unknown host counts as stopped."""
         path = f"/cloud/v1/hosts/{quote(host_id, safe='')}"
         answer = await self._client.call("DELETE", path)
         if answer.status != 404:
             answer.decode(msgspec.Raw)
 
     async def list_notices(self, after: int) -> list[ReclaimNotice]:
-        """Return the reclaim notices with an id above `after`, in order."""
+        """Return the reclaim notices with an id above `after`, ordered by id."""
         answer = await self._client.call("GET", f"/cloud/v1/notices?after={after}")
         notices = [
             ReclaimNotice(each.id, each.host_id, each.at)
--- a/src/pepperstep/adapters/http_platform.py
+++ b/src/pepperstep/adapters/http_platform.py
@@ -1,4 +1,4 @@
-"""HTTP calls to the platform: the cloud API and the weight store."""
+"""HTTP client shared by the cloud API and the weight store."""
 
 import math
 from dataclasses import dataclass
@@ -20,20 +20,20 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformAnswer:
-    """A whole answer, of any status."""
+    """A complete answer with any status."""
 
     status: int
     body: bytes
-    # Seconds after which coming back makes sense.
+    # Seconds to wait before a retry.
     retry_after: float
 
     @property
     def text(self) -> str:
-        """Beginning of the body, for people."""
+        """The beginning of the body, for error messages."""
         return self.body[:200].decode(errors="replace")
 
     def decode(self, answer_type: type[T]) -> T:
-        """Return the value; raise OSError for another status or a damaged body."""
+        """Decode the body; raise OSError if it is invalid or the status isn't 200."""
         if self.status != 200:
             raise OSError(f"The platform answers {self.status}: {self.text}")
         try:
@@ -43,7 +43,7 @@
 
 
 class PlatformClient:
-    """Client of one base URL; errors of the connection are OSError."""
+    """Client for one base URL; connection errors are raised as OSError."""
 
     def __init__(self, url: str, key: str = "", ssl_context=None):
         self._url = url.rstrip("/")
@@ -59,7 +59,7 @@
     async def call(
         self, method: str, path: str, content: object = None
     ) -> PlatformAnswer:
-        """Return the answer; `content` is sent as JSON."""
+        """Make a call with `content` as JSON body and return the answer."""
         body = b"" if content is None else msgspec.json.encode(content)
         timeout = {
             "connect": _CONNECT_SECONDS,
--- a/src/pepperstep/adapters/http_weights.py
+++ b/src/pepperstep/adapters/http_weights.py
@@ -1,4 +1,4 @@
-"""Client of the weight store over HTTP (docs/interfaces-platform.md)."""
+"""HTTP client for the weight store (docs/interfaces-platform.md)."""
 
 from typing import Annotated
 from urllib.parse import quote
@@ -22,13 +22,13 @@
 
 
 class HttpWeights:
-    """Weight store at a base URL."""
+    """Client of the weight store at a base URL."""
 
     def __init__(self, url: str, key: str = "", ssl_context=None):
         self._client = PlatformClient(url, key, ssl_context)
 
     async def size_bytes(self, model: str, version: str) -> int:
-        """Return the size of a model's weights; KeyError if it has none."""
+        """Return the size of a model's weights; raise KeyError if it's unknown."""
         path = f"/weights/v1/models/{quote(model, safe='')}/{quote(version, safe='')}"
         answer = await self._client.call("GET", path)
         if answer.status == 404:
@@ -36,6 +36,6 @@
         return answer.decode(_Model).size_bytes
 
     async def rate(self) -> float:
-        """Return the bytes a second that all engines together may fetch."""
+        """Return the download limit of all engines together, in bytes a second."""
         answer = await self._client.call("GET", "/weights/v1/rate")
         return answer.decode(_Store).bytes_per_second
--- a/src/pepperstep/adapters/operator_messages.py
+++ b/src/pepperstep/adapters/operator_messages.py
@@ -1,7 +1,7 @@
-"""Messages of the operators' interface, as JSON (docs/INTERFACES.md).
+"""JSON messages of the operator API (docs/INTERFACES.md).
 
-The HTTP interface and the command-line tool share them. Answers that are not
-here are the views of `pepperstep.observability` and `ChangeAnswer`.
+They are shared by the HTTP API and the command-line tool. Further answers are the
+views of `pepperstep.observability` and `ChangeAnswer`.
 """
 
 from typing import Annotated
@@ -33,20 +33,20 @@
 
 
 class ChangeBody(msgspec.Struct):
-    """A document's new text."""
+    """A change that replaces the text of a configuration document."""
 
-    # "base", or a site for its overlay.
+    # "base", or the name of a site for its overlay.
     document: _Name
-    # TOML; "" removes an overlay.
+    # TOML; "" removes the overlay.
     text: str
-    # Revision at which the document was read.
+    # Revision of the configuration that the change is based on.
     from_revision: _Revision
-    # A resend carries the same one.
+    # Idempotency key: a resend carries the same id.
     change_id: _Name
 
 
 class ConfigurationView(msgspec.Struct):
-    """The configuration in force, each value with its origin."""
+    """The configuration in force, with the origin of each value."""
 
     revision: int
     values: list[ValueView]
@@ -54,13 +54,13 @@
 
 
 class HostsView(msgspec.Struct):
-    """The hosts that the answering one knows."""
+    """The hosts known to the answering host."""
 
     hosts: list[HostView]
 
 
 class UpstreamsView(msgspec.Struct):
-    """The upstreams that the answering host knows."""
+    """The upstreams known to the answering host."""
 
     upstreams: list[UpstreamView]
 
@@ -72,6 +72,6 @@
 
 
 class DrainBody(msgspec.Struct):
-    """The host that is to leave."""
+    """A request to drain a host."""
 
     host: _Name
--- a/src/pepperstep/adapters/timers.py
+++ b/src/pepperstep/adapters/timers.py
@@ -1,7 +1,7 @@
-"""Timer service on the clock that counts the time a host is suspended.
+"""Timers on a clock that includes the time during which the host is suspended.
 
-Trio sleeps by a clock that stands still meanwhile. A lease measured by that one
-would outlive itself when its host wakes up again.
+Trio's clock stops while the host is suspended. A lease measured with it would still
+seem valid after the host resumes, although it has expired.
 """
 
 import random
@@ -14,13 +14,13 @@
 
 
 class TrioTimers:
-    """Timers of a real host; `rng` gives the jitter."""
+    """Timers on the system clock; `rng` provides the jitter."""
 
     def __init__(self, rng: random.Random):
         self._rng = rng
 
     def now(self) -> float:
-        """Return the monotonic time, suspensions included."""
+        """Return the monotonic time, including suspended time."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def wall(self) -> float:
@@ -34,7 +34,7 @@
     async def subscribe(
         self, period: float, jitter: float = 0.0
     ) -> AsyncIterator[float]:
-        """Yield the time each `period` seconds."""
+        """Yield the current time every `period` seconds, varied by `jitter`."""
         due = self.now()
         while True:
             due = max(due + period * (1 + jitter * (self._rng.random() - 0.5)), 0)
@@ -43,5 +43,5 @@
             due = max(due, self.now() - period)
 
     def move_on_after(self, seconds: float) -> trio.CancelScope:
-        """Return a scope that cancels its block after `seconds`, at once below 0."""
+        """Return a scope that is cancelled after `seconds`, at once if negative."""
         return trio.move_on_after(max(0.0, seconds))
--- a/src/pepperstep/platform/__init__.py
+++ b/src/pepperstep/platform/__init__.py
@@ -1,7 +1,7 @@
-"""What speaks to the users' platform: its names, formats and calls.
+"""Adapter for the users' platform: its names, message formats and calls.
 
-Everything here decodes their messages once into the product's types, or back;
-it decides nothing. No other folder knows their words.
+The modules convert between the platform's messages and the types of pepperstep, and
+make no decisions. No other package uses the platform's names.
 """
 
 from pepperstep.platform.calls import (
--- a/src/pepperstep/platform/calls.py
+++ b/src/pepperstep/platform/calls.py
@@ -1,4 +1,4 @@
-"""Calls that the system answers: operators', upstreams' and callers' questions."""
+"""HTTP handlers for operators, upstreams, directory queries and readiness probes."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -31,49 +31,49 @@
 }
 _UNAVAILABLE = 503
 _NOT_FOUND = Answer(404, b'{"error":"unknown call"}', _JSON)
-# Seconds until a call that this host can't answer now may be tried again.
+# Headers of 503 answers, with the seconds after which to retry.
 _RETRY_HEADERS = (*_JSON, (b"retry-after", b"0.2"))
 
 
 class Entries(Protocol):
-    """What callers' questions ask of a host."""
+    """Directory of entry hosts."""
 
     def entry_addresses(self, zone: str) -> list[str]:
-        """Return addresses for callers in `zone`, the best first."""
+        """Return addresses for callers in `zone`, the preferred ones first."""
 
 
 class Operations(Protocol):
-    """What the calls ask of a control host; failures carry their code."""
+    """Operations of a control host; errors are raised as `Failure` with a code."""
 
     async def put_table(self, version: int, document: bytes) -> None:
-        """Return once the document is agreed on, or known as not higher."""
+        """Return once the document is committed, or its version isn't higher."""
 
     async def read_table(self) -> bytes:
-        """Return the newest agreed document; raise `NO_QUORUM` if that's unsure."""
+        """Return the latest committed document; raise `NO_QUORUM` if it's uncertain."""
 
     async def start_rollout(self, service: str, to: str, duration: float) -> None:
-        """Return once the service's move to a version is agreed on.
+        """Return once a roll-out of the service to version `to` is committed.
 
-        Raise `REVISION_CONFLICT` while it's moved to another one.
+        Raise `REVISION_CONFLICT` while a roll-out to another version is running.
         """
 
     async def read_rollout(self, service: str) -> Rollout:
-        """Return the service's latest roll-out; raise `UNKNOWN_NAME` for none."""
+        """Return the service's latest roll-out; raise `UNKNOWN_NAME` if it had none."""
 
     async def note_announcement(self, announcement: Announcement) -> None:
-        """Take in what an upstream says of itself."""
+        """Process an upstream's heartbeat."""
 
     async def note_gone(self, upstream: str, incarnation: int | None) -> None:
-        """Take in that an upstream ends, in the latest incarnation for None."""
+        """Process an upstream's deregistration, of the latest incarnation for None."""
 
 
 _Message = TypeVar("_Message", bound=msgspec.Struct)
 
-# Whole numbers that other hosts can be told.
+# Ranges of the integers in messages between hosts.
 _Count = Annotated[int, msgspec.Meta(ge=0, le=2**31 - 1)]
 _Number = Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
 _Name = Annotated[str, msgspec.Meta(min_length=1)]
-_LONGEST_ROLLOUT_SECONDS = 86_400.0
+_MAX_ROLLOUT_SECONDS = 86_400.0
 _Address = Annotated[str, msgspec.Meta(pattern=r"^[0-9]+(\.[0-9]+){3}:[0-9]{1,5}$")]
 
 
@@ -86,9 +86,9 @@
     slots: _Count
     state: Literal[names.STATE_READY, names.STATE_DRAINING]
     sequence: _Number
-    # Of its software.
+    # Version of its software.
     version: str = ""
-    # How much longer it is slow after its start.
+    # Remaining warm-up time, during which it is slow.
     cold_remaining_ms: float = 0
     # Whether it may be reclaimed.
     spot: bool = False
@@ -98,15 +98,15 @@
 
 
 class _RolloutOrder(msgspec.Struct):
-    """An operator's order to move a service to a version."""
+    """An operator's order to roll out a version of a service."""
 
     service: _Name
     to: _Name
-    duration_s: Annotated[float, msgspec.Meta(gt=0, le=_LONGEST_ROLLOUT_SECONDS)]
+    duration_s: Annotated[float, msgspec.Meta(gt=0, le=_MAX_ROLLOUT_SECONDS)]
 
 
 class _Deregistration(msgspec.Struct):
-    """What a replica may say of itself when it ends."""
+    """Optional body of a replica's deregistration."""
 
     # Unix time of its start in milliseconds.
     born: _Number | None = None
@@ -114,7 +114,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Call:
-    """A call's method, path and body."""
+    """Method, path, query and body of a call."""
 
     method: bytes
     path: str
@@ -123,13 +123,13 @@
 
     @classmethod
     def from_exchange(cls, exchange: Exchange) -> "_Call":
-        """Return the call that an exchange carries."""
+        """Return the call in an exchange."""
         path, _, query = exchange.head.target.decode("latin-1").partition("?")
         return cls(exchange.head.method, path, parse_qs(query), exchange.body)
 
 
 class ControlCalls:
-    """Calls of operators and upstreams."""
+    """Handles calls of operators and upstreams."""
 
     def __init__(self, operations: Operations, decoder: TableDecoder | None = None):
         self._operations = operations
@@ -141,19 +141,19 @@
         try:
             answer = await self._answer(call)
         except InvalidDocument as error:
-            logging.info("operators: A configuration is refused: %s", error.text)
+            logging.info("operators: Configuration refused: %s", error.text)
             answer = _error(400, error)
         except Failure as failure:
             status = _STATUSES.get(failure.code, _UNAVAILABLE)
-            logging.info("operators: %s fails: %s", call.path, failure.text)
+            logging.info("operators: Call of %s failed: %s", call.path, failure.text)
             answer = _error(status, failure)
         await exchange.answer(answer)
 
     async def _answer(self, call: _Call) -> Answer:
         if call.path.startswith(names.HEARTBEAT):
-            return await self._beat(call)
+            return await self._handle_heartbeat(call)
         if call.path.startswith(names.DEREGISTER):
-            return await self._deregister(call)
+            return await self._handle_deregistration(call)
         if call.path == names.CONFIG_REPLACE and call.method == b"POST":
             table = self._decoder.decode(call.body)
             await self._operations.put_table(table.version, call.body)
@@ -172,46 +172,46 @@
         return Answer(200, b"{}", _JSON)
 
     async def _read_rollout(self, call: _Call) -> Answer:
-        service = _name_behind(names.ROLLOUT_READ, call.path)
+        service = _name_after(names.ROLLOUT_READ, call.path)
         rollout = await self._operations.read_rollout(service)
         body = msgspec.json.encode({"state": rollout.state, "to": rollout.to})
         return Answer(200, body, _JSON)
 
-    async def _beat(self, call: _Call) -> Answer:
-        beat = _decode(call.body, _Beat)
+    async def _handle_heartbeat(self, call: _Call) -> Answer:
+        heartbeat = _decode(call.body, _Beat)
         announcement = Announcement(
-            id=_name_behind(names.HEARTBEAT, call.path),
-            service=beat.service,
-            address=beat.address,
-            zone=beat.zone,
-            slots=beat.slots,
-            sequence=beat.sequence,
-            is_leaving=beat.state == names.STATE_DRAINING,
-            is_reclaimable=beat.spot,
-            leaves_in=(beat.leaves_ms or 0) / 1000,
-            warmup=beat.cold_remaining_ms / 1000,
-            software=beat.version,
-            incarnation=beat.born,
+            id=_name_after(names.HEARTBEAT, call.path),
+            service=heartbeat.service,
+            address=heartbeat.address,
+            zone=heartbeat.zone,
+            slots=heartbeat.slots,
+            sequence=heartbeat.sequence,
+            is_leaving=heartbeat.state == names.STATE_DRAINING,
+            is_reclaimable=heartbeat.spot,
+            leaves_in=(heartbeat.leaves_ms or 0) / 1000,
+            warmup=heartbeat.cold_remaining_ms / 1000,
+            software=heartbeat.version,
+            incarnation=heartbeat.born,
         )
         await self._operations.note_announcement(announcement)
         return Answer(200, b"{}", _JSON)
 
-    async def _deregister(self, call: _Call) -> Answer:
-        upstream = _name_behind(names.DEREGISTER, call.path)
+    async def _handle_deregistration(self, call: _Call) -> Answer:
+        upstream = _name_after(names.DEREGISTER, call.path)
         born = _decode(call.body, _Deregistration).born if call.body else None
         await self._operations.note_gone(upstream, born)
         return Answer(200, b"{}", _JSON)
 
 
 class DirectoryCalls:
-    """Questions of callers where to connect."""
+    """Handles directory queries: the addresses to which callers connect."""
 
     def __init__(self, entries: Entries, keep_seconds: float):
         self._entries = entries
         self._keep_seconds = keep_seconds
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one question."""
+        """Answer one query."""
         call = _Call.from_exchange(exchange)
         if call.path != names.RESOLVE:
             await exchange.answer(_NOT_FOUND)
@@ -230,13 +230,13 @@
 
 
 class ReadinessCalls:
-    """The platform's question whether an entry host takes requests."""
+    """Handles the platform's readiness probes of an entry host."""
 
     def __init__(self, is_ready: Callable[[], bool]):
         self._is_ready = is_ready
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one question."""
+        """Answer one probe."""
         if exchange.head.target.partition(b"?")[0] != names.READY.encode():
             await exchange.answer(_NOT_FOUND)
             return
@@ -245,14 +245,14 @@
 
 
 def _decode(body: bytes, kind: type[_Message]) -> _Message:
-    """Return a replica's message; raise `Failure` for what isn't one."""
+    """Decode a message; raise `Failure` with `INVALID_REQUEST` on errors."""
     try:
         return msgspec.json.decode(body, type=kind)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
         raise Failure(Code.INVALID_REQUEST, str(error)) from error
 
 
-def _name_behind(prefix: str, path: str) -> str:
+def _name_after(prefix: str, path: str) -> str:
     name = path[len(prefix) :]
     if not name:
         raise Failure(Code.INVALID_REQUEST, "The call names nothing.")
--- a/src/pepperstep/platform/cloud.py
+++ b/src/pepperstep/platform/cloud.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's API, each with the holder's fencing token."""
+"""Client of the platform's API; each call carries the holder's fencing token."""
 
 import msgspec
 
@@ -16,19 +16,19 @@
 
 __all__ = ["PlatformCloud"]
 
-# One call and its answer, in seconds; the API is at times slow.
+# Timeout of a call with its answer; the API is slow at times.
 _CALL_SECONDS = 1.5
 
 
 class _Usage(msgspec.Struct):
-    """Usage of one window: its number, and runs begun by tenant."""
+    """Usage in one window: its number, and the started runs by tenant."""
 
     window_id: int
     counts: dict[str, int]
 
 
 class _Scale(msgspec.Struct):
-    """Replicas of one kind that a service shall have in a zone."""
+    """Desired number of replicas of a service in a zone, by price class."""
 
     service: str
     zone: str
@@ -38,7 +38,7 @@
 
 
 class PlatformCloud:
-    """The platform's API at `address`."""
+    """Client of the platform's API at `address`."""
 
     def __init__(self, address: str, connector: UpstreamConnector, timers: Timers):
         self._address = address
@@ -46,19 +46,19 @@
         self._timers = timers
 
     async def report(self, report: UsageReport) -> None:
-        """Report one window's usage."""
+        """Report the usage of one window."""
         body = _Usage(report.window, report.counts)
         await self._call(names.USAGE, report.holder, report.fence, body)
 
     async def order(self, order: UpstreamOrder, holder: str, fence: int) -> None:
-        """Order upstreams."""
+        """Set the desired number of upstreams of a service in a zone."""
         body = _Scale(order.service, order.zone, order.count, order.is_reclaimable)
         await self._call(names.SCALE, holder, fence, body)
 
     async def _call(
         self, path: bytes, holder: str, fence: int, body: msgspec.Struct
     ) -> None:
-        """Make one call; raise `Failure` unless it was carried out."""
+        """Make a call; raise `Failure` unless it succeeds."""
         head = RequestHead(
             b"POST",
             path,
@@ -76,8 +76,9 @@
             return
         text = f"The platform's answer is {answer.status}: {answer.body[:200]!r}"
         if answer.status == 409 and path == names.SCALE:
-            # Either there are none to be had, or another host has a higher
-            # token; that one's orders hold then, whatever is believed here.
+            # Either the platform has no capacity, or another host has a higher
+            # fencing token. In the second case its orders apply, so that treating
+            # the conflict as lack of capacity here does no harm.
             raise Failure(Code.OVERLOADED, text)
         code = Code.FENCED if answer.status == 409 else Code.PEER_UNREACHABLE
         raise Failure(code, text)
--- a/src/pepperstep/platform/documents.py
+++ b/src/pepperstep/platform/documents.py
@@ -1,4 +1,4 @@
-"""The operators' configuration, decoded into a table of routes."""
+"""Decoder of the operators' configuration into a route table."""
 
 from collections.abc import Generator, Iterator
 from dataclasses import dataclass
@@ -23,58 +23,58 @@
 __all__ = ["TableDecoder", "decode_table"]
 
 _FILE = "configuration"
-# Routes that are decoded in one step: less than a millisecond.
+# Routes decoded in one step, which takes less than a millisecond.
 _STEP_ROUTES = 200
 
 
 class _Split(msgspec.Struct):
-    """A service with its part of a route's traffic."""
+    """A service and its weight in the traffic of a route."""
 
     service: str
     weight: float
 
 
 class _Route(msgspec.Struct):
-    """A route."""
+    """A route from a host and path prefix to services."""
 
     name: str
     host: str
     path_prefix: str
     kind: str
     timeout_ms: float
-    # The one service, or several with weights.
+    # Either a single service, or several with weights.
     service: str | None = None
     traffic_split: list[_Split] | None = None
     target_latency_ms: float = 0
     priority: int = 0
     max_attempts: int = 1
     public: bool = False
-    # Whether requests name the parts of their prompts.
+    # Whether requests state the ids of their prompt parts.
     sticky_sessions: bool = False
     stream_resume: bool = False
     gap_target_ms: float = 0
 
 
 class _Engine(msgspec.Struct):
-    """Model engines of a service."""
+    """Capacity of each model engine of a service."""
 
     slots: int = 0
     kv_capacity_tokens: int = 0
 
 
 class _Autoscale(msgspec.Struct):
-    """Bounds of a service's replicas in each zone."""
+    """Autoscaling bounds of a service in each zone."""
 
     min_replicas: int = 0
     max_replicas: int = 0
     boot_s: float = 0
-    # As a share of the other replicas' price.
+    # Price of reclaimable replicas as a fraction of the price of the others.
     spot_price: float = 1
     zone_prices: dict[str, float] = msgspec.field(default_factory=dict)
 
 
 class _Service(msgspec.Struct):
-    """A service."""
+    """A service with optional engines and autoscaling."""
 
     name: str
     health_check_path: str = ""
@@ -84,21 +84,21 @@
 
 
 class _Tenant(msgspec.Struct):
-    """A tenant, which the project calls a workspace."""
+    """A tenant, called a workspace in pepperstep."""
 
     name: str
     api_keys: list[str] = msgspec.field(default_factory=list)
     priority: int | None = None
     unit: str | None = None
-    # Cost of a request that states no tokens.
+    # Cost in tokens of a request that states no token counts.
     plain_tokens: int = 0
-    # 0 for no limit.
+    # 0 means unlimited.
     rate_per_s: float = 0
     burst: float = 0
 
 
 class _Limits(msgspec.Struct):
-    """Bounds on what callers send."""
+    """Limits on callers' requests and connections."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
@@ -110,7 +110,8 @@
     """The whole configuration."""
 
     version: int
-    # Most of them come unchanged with each version, so they are decoded one by one.
+    # Most routes don't change between versions. They are decoded one by one, so that
+    # unchanged ones are decoded only once.
     routes: list[msgspec.Raw]
     services: list[_Service]
     limits: _Limits = msgspec.field(default_factory=_Limits)
@@ -118,8 +119,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _KnownRoute:
-    """A route without faults of its own, and the services that it names."""
+class _CachedRoute:
+    """A decoded route, and the services that it refers to."""
 
     route: Route
     services: frozenset[str]
@@ -130,14 +131,14 @@
 
 
 class TableDecoder:
-    """Decodes one document after the other; a route that stays is decoded once."""
+    """Decodes successive documents, caching the routes of the latest one."""
 
     def __init__(self):
-        # Routes of the latest document, by their bytes in it.
-        self._known: dict[bytes, _KnownRoute] = {}
+        # Routes of the latest valid document by their encoded form.
+        self._cached_routes: dict[bytes, _CachedRoute] = {}
 
     def decode(self, data: bytes) -> RouteTable:
-        """Return the table in an operator's document.
+        """Decode an operator's document into a route table.
 
         Raise `InvalidDocument` with all findings.
         """
@@ -149,16 +150,16 @@
                 return end.value
 
     def decode_in_steps(self, data: bytes) -> Generator[None, None, RouteTable]:
-        """Do the same, and yield between the steps of a large document."""
-        document = _read(_decode_document, data, "document")
-        findings = list(_document_faults(document))
+        """Decode a document like `decode`, but yield between short steps."""
+        document = _decode(_decode_document, data, "document")
+        findings = list(_find_document_errors(document))
         routes = yield from self._decode_routes(document, findings)
         if findings:
             raise InvalidDocument(findings)
-        self._known = routes
+        self._cached_routes = routes
         return RouteTable(
             document.version,
-            tuple(known.route for known in routes.values()),
+            tuple(cached.route for cached in routes.values()),
             tuple(map(_service_of, document.services)),
             tuple(map(_workspace_of, document.tenants)),
             _limits_of(document.limits),
@@ -166,63 +167,65 @@
 
     def _decode_routes(
         self, document: _Document, findings: list[Finding]
-    ) -> Generator[None, None, dict[bytes, _KnownRoute]]:
-        """Return the routes by their bytes, and add what's wrong with them."""
+    ) -> Generator[None, None, dict[bytes, _CachedRoute]]:
+        """Return the routes by their encoded form; append errors to `findings`."""
         services = {service.name for service in document.services}
-        routes: dict[bytes, _KnownRoute] = {}
-        places: set[tuple[str, str]] = set()
+        routes: dict[bytes, _CachedRoute] = {}
+        prefixes: set[tuple[str, str]] = set()
         for index, raw in enumerate(document.routes):
             if index % _STEP_ROUTES == _STEP_ROUTES - 1:
                 yield
             path = f"routes[{index}]"
             data = bytes(raw)
-            known = self._known.get(data)
-            if known is None or not known.services <= services:
-                known, faults = _know(data, path, services)
-                findings += faults
-            place = (known.route.host, known.route.path_prefix)
-            if place in places:
+            cached = self._cached_routes.get(data)
+            if cached is None or not cached.services <= services:
+                cached, errors = _decode_and_check(data, path, services)
+                findings += errors
+            prefix_key = (cached.route.host, cached.route.path_prefix)
+            if prefix_key in prefixes:
                 text = "has host and prefix of another route"
                 findings.append(Finding(_FILE, path, text))
-            places.add(place)
-            routes[data] = known
+            prefixes.add(prefix_key)
+            routes[data] = cached
         return routes
 
 
 def decode_table(data: bytes) -> RouteTable:
-    """Return the table in an operator's document, as `TableDecoder` does."""
+    """Decode a single document; see `TableDecoder.decode`."""
     return TableDecoder().decode(data)
 
 
-def _read(decode, data: bytes, path: str):
+def _decode(decode, data: bytes, path: str):
     try:
         return decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
         raise InvalidDocument([Finding(_FILE, path, str(error))]) from error
 
 
-def _know(
+def _decode_and_check(
     data: bytes, path: str, services: set[str]
-) -> tuple[_KnownRoute, list[Finding]]:
-    route = _read(_decode_route, data, path)
-    faults = [Finding(_FILE, path, text) for text in _route_faults(route, services)]
-    named = frozenset(split.service for split in _splits_of(route))
-    return _KnownRoute(_route_of(route), named), faults
+) -> tuple[_CachedRoute, list[Finding]]:
+    route = _decode(_decode_route, data, path)
+    errors = [
+        Finding(_FILE, path, text) for text in _find_route_errors(route, services)
+    ]
+    service_names = frozenset(split.service for split in _splits_of(route))
+    return _CachedRoute(_route_of(route), service_names), errors
 
 
-def _document_faults(document: _Document) -> Iterator[Finding]:
-    """Yield what's wrong beside the routes."""
+def _find_document_errors(document: _Document) -> Iterator[Finding]:
+    """Yield the errors of a document outside of its routes."""
     if document.version <= 0:
         yield Finding(_FILE, "version", "must be above 0")
-    holders: dict[str, str] = {}
+    key_owners: dict[str, str] = {}
     for index, tenant in enumerate(document.tenants):
         for key in tenant.api_keys:
-            if holders.setdefault(key, tenant.name) != tenant.name:
-                text = f"shares a key with {holders[key]}"
+            if key_owners.setdefault(key, tenant.name) != tenant.name:
+                text = f"shares a key with {key_owners[key]}"
                 yield Finding(_FILE, f"tenants[{index}]", text)
 
 
-def _route_faults(route: _Route, services: set[str]) -> Iterator[str]:
+def _find_route_errors(route: _Route, services: set[str]) -> Iterator[str]:
     splits = _splits_of(route)
     for split in splits:
         if split.service not in services:
--- a/src/pepperstep/platform/names.py
+++ b/src/pepperstep/platform/names.py
@@ -1,4 +1,4 @@
-"""The platform's names for headers, paths and words of its messages."""
+"""The platform's names of headers, paths and values in its messages."""
 
 __all__ = [
     "ANSWERED_REQUEST",
@@ -48,13 +48,13 @@
 EXPECT_REPLICA = b"pepperstep-expect-replica"
 LAST_EVENT = b"last-event-id"
 LENGTH_HINT = b"pepperstep-length-hint"
-# Ids and sizes of the prompt's parts.
+# Ids and sizes of the parts of the prompt.
 PARTS = b"pepperstep-prompt-prefix"
 PRIORITY = b"pepperstep-request-priority"
 TENANT = b"pepperstep-tenant"
-# Prompt tokens, and most tokens of the answer.
+# Number of prompt tokens, and maximum number of answer tokens.
 TOKENS = b"pepperstep-token-counts"
-# What only this system may set.
+# Headers that only pepperstep may set; those from callers are dropped.
 RESERVED = frozenset(
     (
         AUTHORIZATION,
@@ -74,16 +74,16 @@
 # Headers of answers.
 NOT_EXECUTED = b"pepperstep-not-executed"
 REPLICA = b"pepperstep-replica-id"
-# Requests a second that a replica takes from all hosts together.
+# Rate limit of a replica in requests a second, for all hosts together.
 SERVER_LIMIT = b"server-limit"
-# Whether the replica leaves.
+# Whether the replica is leaving.
 SERVER_LEAVING = b"server-leaving"
 
 # Headers of calls to the platform.
 FENCE = b"pepperstep-fencing-token"
 HOLDER = b"pepperstep-duty-holder"
 
-# Calls that the system answers.
+# Paths of the calls that pepperstep answers.
 CONFIG_READ = "/-/Config.Read"
 CONFIG_REPLACE = "/-/Config.Replace"
 DEREGISTER = "/-/Replicas.Deregister/"
@@ -93,11 +93,11 @@
 ROLLOUT_READ = "/-/Rollouts.Read/"
 ROLLOUT_START = "/-/Rollouts.Start"
 
-# Calls that the platform answers.
+# Paths of the calls that the platform answers.
 SCALE = b"/scale"
 USAGE = b"/usage"
 
-# Words in bodies and settings.
+# Values in bodies and settings.
 KIND_SAFE = "safe"
 KIND_STREAM = "stream"
 KIND_UNSAFE = "unsafe"
--- a/src/pepperstep/platform/settings.py
+++ b/src/pepperstep/platform/settings.py
@@ -1,7 +1,7 @@
-"""The platform's settings file, decoded into the daemon's own settings.
+"""Decoder of the platform's settings file into the daemon's settings.
 
-The file is the platform's fields as JSON, as the template in `deploy` asks.
-Fields that aren't known here are left alone.
+The file is a JSON object with the platform's fields, as requested by the template in
+`deploy`. Unknown fields are ignored.
 """
 
 from pathlib import Path
@@ -18,25 +18,25 @@
 
 __all__ = ["SETTINGS_VARIABLE", "read_platform_settings"]
 
-# Environment variable with the path of the file.
+# Environment variable with the path of the settings file.
 SETTINGS_VARIABLE = "PEPPERSTEP_SETTINGS"
 
 
 class _Listen(msgspec.Struct):
-    """Addresses (host:port) of what the process serves, None for what it doesn't."""
+    """Listening addresses (host:port), None for services that aren't offered."""
 
     # Callers' requests.
     frontend: str | None = None
-    # Questions whether the host takes requests.
+    # Readiness probes.
     readiness: str | None = None
     # Operators and upstreams.
     control: str | None = None
-    # Callers that ask where to connect.
+    # Directory queries of callers.
     directory: str | None = None
 
 
 class _Bounds(msgspec.Struct):
-    """Bounds of the deployment; the names tell their units."""
+    """Bounds of the deployment; the suffixes of the names are their units."""
 
     ack_ms: float = 5000
     expose_share: float = 0.1
@@ -53,12 +53,12 @@
     lease_ms: float = 3000
     usage_window_s: float = 5
     usage_late_s: float = 10
-    # Longest time for which callers keep addresses; 5 where it isn't stated.
+    # Longest time for which callers may cache addresses.
     ttl_max_s: float = 5
 
 
 class _Tolerance(msgspec.Struct):
-    """What may be lost at the same time."""
+    """Tolerated simultaneous losses."""
 
     machines: int = 1
 
@@ -78,13 +78,13 @@
     zone: str
     region: str
     listen: _Listen
-    # First and last port that hosts may use among themselves.
+    # First and last port for connections between hosts.
     internal_ports: list[int]
     # Control addresses of some control hosts.
     seed_nodes: list[str] = msgspec.field(default_factory=list)
-    # Region by zone.
+    # Regions by zone.
     zones: dict[str, str] = msgspec.field(default_factory=dict)
-    # Whether the whole system starts for the first time.
+    # Whether the whole system is started for the first time.
     bootstrap: bool = False
     data_dir: str | None = None
     fault_tolerance: _Tolerance = msgspec.field(default_factory=_Tolerance)
@@ -93,9 +93,9 @@
 
 
 def read_platform_settings(path: Path) -> RelaySettings:
-    """Return the settings in the file at `path`.
+    """Read the settings from the file at `path`.
 
-    Raise `InvalidDocument` with all findings; OSError if it can't be read.
+    Raise `InvalidDocument` with all findings, or OSError if it can't be read.
     """
     try:
         file = msgspec.json.decode(path.read_bytes(), type=_File)
--- a/src/pepperstep/platform/wire.py
+++ b/src/pepperstep/platform/wire.py
@@ -1,4 +1,4 @@
-"""Headers of relayed requests and answers."""
+"""Conversion of the headers of relayed requests and answers."""
 
 import math
 
@@ -16,7 +16,7 @@
 
 _BEARER = "bearer "
 _TRUE = b"1"
-# Statuses of failures where the request hasn't run.
+# HTTP statuses of failures for requests that haven't run.
 _STATUS_NOT_RUN = {
     Code.INVALID_REQUEST: 400,
     Code.BODY_TOO_LARGE: 413,
@@ -26,34 +26,34 @@
     Code.CRASHING_REQUEST: 400,
 }
 _STATUS_MAY_HAVE_RUN = {Code.DEADLINE_EXPIRED: 504}
-_LEAST_URGENT = 9
+_LEAST_URGENT_PRIORITY = 9
 _NOT_RUN = 503
 _MAY_HAVE_RUN = 502
 
 
 class PlatformWire:
-    """Reads what the platform's callers and upstreams say."""
+    """Reads and writes the platform's headers."""
 
     def read_request(self, head: RequestHead) -> RequestFacts:
-        """Return what the caller says."""
+        """Return the facts stated in the headers of a caller's request."""
         if not head.target.startswith(b"/"):
             raise Failure(Code.INVALID_REQUEST, "The target is no path.")
         values = dict(reversed(head.headers))
-        prompt, answer, has_tokens = _tokens_of(values.get(names.TOKENS, b""))
+        prompt, answer, has_tokens = _parse_token_counts(values.get(names.TOKENS, b""))
         return RequestFacts(
             attempt_id=values.get(names.ATTEMPT, b""),
-            wait=_seconds_of(values.get(names.DEADLINE, b"")),
-            key=_key_of(values.get(names.AUTHORIZATION, b"")),
+            wait=_parse_seconds(values.get(names.DEADLINE, b"")),
+            key=_parse_key(values.get(names.AUTHORIZATION, b"")),
             prompt_tokens=prompt,
             answer_tokens=answer,
             has_tokens=has_tokens,
-            expected_tokens=_number_of(values.get(names.LENGTH_HINT, b"")),
-            prompt_parts=_parts_of(values.get(names.PARTS, b"")),
+            expected_tokens=_parse_integer(values.get(names.LENGTH_HINT, b"")),
+            prompt_parts=_parse_prompt_parts(values.get(names.PARTS, b"")),
             last_event_id=values.get(names.LAST_EVENT, b""),
         )
 
     def write_request(self, head: RequestHead, forwarding: Forwarding) -> RequestHead:
-        """Return the head that goes to the upstream."""
+        """Return the head to send to the upstream."""
         headers = [each for each in head.headers if each[0] not in names.RESERVED]
         wait = max(1, int(1000 * forwarding.wait))
         headers.append((names.DEADLINE, b"%d" % wait))
@@ -61,36 +61,36 @@
         if forwarding.workspace:
             headers.append((names.TENANT, forwarding.workspace.encode()))
         if forwarding.priority is not None:
-            urgency = min(max(forwarding.priority, 0), _LEAST_URGENT)
-            headers.append((names.PRIORITY, b"%d" % urgency))
+            priority = min(max(forwarding.priority, 0), _LEAST_URGENT_PRIORITY)
+            headers.append((names.PRIORITY, b"%d" % priority))
         if forwarding.last_event_id:
             headers = [each for each in headers if each[0] != names.LAST_EVENT]
             headers.append((names.LAST_EVENT, forwarding.last_event_id))
         return RequestHead(head.method, head.target, tuple(headers))
 
     def read_answer(self, head: AnswerHead) -> AnswerFacts:
-        """Return what the upstream says."""
+        """Return the facts stated in the headers of an upstream's answer."""
         values = dict(reversed(head.headers))
         return AnswerFacts(
             attempt_id=values.get(names.ANSWERED_REQUEST, b""),
             was_refused=names.NOT_EXECUTED in values,
             other_upstream=values.get(names.REPLICA, b"").decode("latin-1"),
-            keep_seconds=_keep_of(values.get(b"keep-alive", b"")),
+            keep_seconds=_parse_keep_alive(values.get(b"keep-alive", b"")),
             closes=b"close" in values.get(b"connection", b"").lower(),
-            retry_after=_decimal_of(values.get(b"retry-after", b"")),
+            retry_after=_parse_decimal(values.get(b"retry-after", b"")),
             is_leaving=values.get(names.SERVER_LEAVING, b"").strip() == _TRUE,
-            rate_limit=_limit_of(values.get(names.SERVER_LIMIT)),
+            rate_limit=_parse_rate_limit(values.get(names.SERVER_LIMIT)),
         )
 
     def write_answer(self, head: AnswerHead, is_framed: bool) -> tuple[Header, ...]:
-        """Return the headers that go to the caller."""
+        """Return the headers to send to the caller."""
         dropped = {b"connection", b"keep-alive", b"transfer-encoding", b"upgrade"}
         if is_framed:
             dropped.add(b"content-length")
         return tuple(each for each in head.headers if each[0] not in dropped)
 
     def write_failure(self, failure: Failure, attempt_id: bytes) -> Answer:
-        """Return this system's own answer to a request that it gives up."""
+        """Return the answer to a caller whose request failed."""
         headers: list[Header] = [(b"content-type", b"application/json")]
         if attempt_id:
             headers.append((names.ATTEMPT, attempt_id))
@@ -105,27 +105,27 @@
         return Answer(status, body, tuple(headers))
 
 
-def _key_of(value: bytes) -> str:
+def _parse_key(value: bytes) -> str:
     text = value.decode("latin-1").strip()
     if text[: len(_BEARER)].lower() != _BEARER:
         return ""
     return text[len(_BEARER) :].strip()
 
 
-def _seconds_of(value: bytes) -> float | None:
-    """Return milliseconds as seconds, None for what is no number."""
+def _parse_seconds(value: bytes) -> float | None:
+    """Convert milliseconds to seconds, None if they aren't a number."""
     try:
         return max(0.0, float(value) / 1000)
     except ValueError:
         return None
 
 
-def _number_of(value: bytes) -> int:
+def _parse_integer(value: bytes) -> int:
     return int(value) if value.isdigit() else 0
 
 
-def _decimal_of(value: bytes) -> float:
-    """Return a decimal number, 0 for what is none or has no end."""
+def _parse_decimal(value: bytes) -> float:
+    """Return a decimal number, 0 if it's invalid or not finite."""
     try:
         number = float(value)
     except ValueError:
@@ -133,10 +133,10 @@
     return max(0.0, number) if math.isfinite(number) else 0.0
 
 
-def _limit_of(value: bytes | None) -> float | None:
-    """Return a limit in requests a second, None where none is named.
+def _parse_rate_limit(value: bytes | None) -> float | None:
+    """Return a rate limit in requests a second, None if there is none.
 
-    A value that is no number names none: nothing tells what it stands for.
+    A value that isn't a number is ignored, because its meaning is unknown.
     """
     if value is None:
         return None
@@ -147,7 +147,7 @@
     return max(0.0, limit) if math.isfinite(limit) else None
 
 
-def _tokens_of(value: bytes) -> tuple[int, int, bool]:
+def _parse_token_counts(value: bytes) -> tuple[int, int, bool]:
     prompt, _, answer = value.partition(b",")
     prompt, answer = prompt.strip(), answer.strip()
     if not (prompt.isdigit() and answer.isdigit()):
@@ -155,7 +155,7 @@
     return int(prompt), int(answer), True
 
 
-def _parts_of(value: bytes) -> tuple[PromptPart, ...]:
+def _parse_prompt_parts(value: bytes) -> tuple[PromptPart, ...]:
     parts = []
     for entry in value.decode("latin-1").split(","):
         part, _, tokens = entry.strip().partition(":")
@@ -164,10 +164,10 @@
     return tuple(parts)
 
 
-def _keep_of(value: bytes) -> float:
-    """Return the seconds in a `Keep-Alive` header, 0 if there are none."""
+def _parse_keep_alive(value: bytes) -> float:
+    """Return the timeout in a `Keep-Alive` header in seconds, 0 if it's missing."""
     for entry in value.split(b","):
         name, _, number = entry.strip().partition(b"=")
         if name.strip().lower() == b"timeout":
-            return _decimal_of(number)
+            return _parse_decimal(number)
     return 0.0
