--- a/src/pepperstep/platform/wire.py
+++ b/src/pepperstep/platform/wire.py
@@ -61,8 +61,8 @@
         if forwarding.workspace:
             headers.append((names.TENANT, forwarding.workspace.encode()))
         if forwarding.priority is not None:
-            priority = min(max(forwarding.priority, 0), _LEAST_URGENT_PRIORITY)
-            headers.append((names.PRIORITY, b"%d" % priority))
+            clamped_priority = min(max(forwarding.priority, 0), _LEAST_URGENT_PRIORITY)
+            headers.append((names.PRIORITY, b"%d" % clamped_priority))
         if forwarding.last_event_id:
             headers = [each for each in headers if each[0] != names.LAST_EVENT]
             headers.append((names.LAST_EVENT, forwarding.last_event_id))
--- a/tests/adapters/test_upstream_tls.py
+++ b/tests/adapters/test_upstream_tls.py
@@ -1,4 +1,4 @@
-"""Upstreams behind TLS, checked by the authority of the settings."""
+"""Upstreams with TLS: certificates must be issued by the configured authority."""
 
 import ssl
 
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize("is_trusted", [True, False])
-async def test_only_an_upstream_of_the_authority_is_asked(is_trusted, tmp_path):
+async def test_only_upstreams_with_trusted_certificate_are_called(is_trusted, tmp_path):
     authority = trustme.CA()
     trusted = authority if is_trusted else trustme.CA()
     trusted.cert_pem.write_to_path(tmp_path / "authority.pem")
@@ -43,5 +43,5 @@
         nursery.cancel_scope.cancel()
 
 
-def test_without_an_authority_there_is_no_tls():
+def test_no_tls_without_authority():
     assert _trust(TlsSettings()) is None
--- a/tests/api/conftest.py
+++ b/tests/api/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the HTTP interface's tests."""
+"""Fixtures for the tests of the HTTP API."""
 
 import socket
 
@@ -7,6 +7,6 @@
 
 @pytest.fixture
 def unused_tcp_port() -> int:
-    """Return a port of loopback that is free now."""
+    """Return a free TCP port on the loopback interface."""
     with socket.create_server(("127.0.0.1", 0)) as server:
         return server.getsockname()[1]
--- a/tests/api/fake_node.py
+++ b/tests/api/fake_node.py
@@ -1,4 +1,4 @@
-"""A host without its parts, and calls to its HTTP interface in this process."""
+"""Fake host, and a client that calls its HTTP API in process over ASGI."""
 
 import hashlib
 import json
@@ -37,7 +37,7 @@
 
 
 def key_hash(key: str) -> str:
-    """Return what documents keep of a key."""
+    """Return the hash under which documents store a key."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
@@ -79,7 +79,7 @@
 
 
 class FakeStore:
-    """Documents of the configuration, changed without a log."""
+    """In-memory configuration documents, changed without a replicated log."""
 
     def __init__(self) -> None:
         self.texts = {BASE: BASE_TEXT, "kitahara": OVERLAY_TEXT}
@@ -97,7 +97,7 @@
         return self.texts.get(document, "")
 
     async def apply_change(self, change: Change, timeout: float) -> ChangeAnswer:
-        """Accept a change from the current revision."""
+        """Accept a change based on the current revision; refuse others as conflicts."""
         self.changes.append(change)
         revision = self.current.revision
         if change.from_revision != revision:
@@ -110,12 +110,12 @@
 
 @dataclass
 class FakeRequests:
-    """Requests that all get the same answer, or the failure that a test set."""
+    """Gives all requests the same answer, or a failure set by the test."""
 
     timers: FakeTimers
     outcome: Outcome = field(default_factory=lambda: Outcome(finish="stop"))
     refusal: Failure | None = None
-    # Tokens after which the stream fails or waits for ever.
+    # Number of tokens after which the stream fails or hangs.
     fails_after: int | None = None
     hangs_after: int | None = None
     submitted: list[Request] = field(default_factory=list)
@@ -123,7 +123,7 @@
     cancelled: list[tuple[str, str]] = field(default_factory=list)
 
     async def submit(self, request: Request) -> Any:
-        """Accept a request."""
+        """Accept a request, or find the earlier one with its idempotency key."""
         if self.refusal is not None:
             raise self.refusal
         for earlier in self.submitted:
@@ -137,7 +137,7 @@
         return SimpleNamespace(id=request.id)
 
     async def cancel(self, request_id: str, workspace: str) -> bool:
-        """Note that a request is to end, if it's known."""
+        """Record a cancellation; return whether the request exists."""
         self.cancelled.append((request_id, workspace))
         return request_id in {each.id for each in self.submitted}
 
@@ -166,7 +166,7 @@
 
 
 class FakeNode:
-    """What the HTTP interface needs of a host, and what operators ask of it."""
+    """Implements `EntryNode` and `Operators` with fixed views."""
 
     def __init__(self, name: str = "entry-0") -> None:
         self.timers = FakeTimers(random.Random(1))
@@ -190,15 +190,15 @@
         return self.store.current if self.is_configured else Configuration()
 
     def api(self) -> Api:
-        """Return its HTTP interface."""
+        """Return its HTTP API."""
         return Api(self, self.metrics, self)
 
     def reasons_not_ready(self) -> list[str]:
-        """Return what the test set."""
+        """Return the reasons set by the test."""
         return self.not_ready
 
     def status(self) -> StatusView:
-        """Return some state."""
+        """Return a fixed status."""
         return StatusView("entry-0", "zone-a", "dosanko", "kitahara", 1)
 
     def hosts(self) -> list[HostView]:
@@ -213,7 +213,7 @@
         return [UpstreamView("engine-0", "engine", "zone-a", "engine-0:9000", 7)]
 
     async def drain(self, host: str) -> None:
-        """Note that a host is to leave."""
+        """Record a drain order."""
         if host not in ("entry-0", "entry-1"):
             raise Failure(Code.UNKNOWN_NAME, f"No host {host} is known.")
         self.drained.append(host)
@@ -231,12 +231,12 @@
 
 @dataclass
 class Answer:
-    """What a call got."""
+    """Response to a call."""
 
     status: int
     headers: dict[str, str]
     body: bytes
-    # Bodies of the events that had any.
+    # Non-empty bodies of the ASGI events.
     events: list[bytes]
 
     @property
@@ -246,7 +246,7 @@
 
     @property
     def code(self) -> str:
-        """The code of an error, "" for other answers."""
+        """The code of an error, "" for successful calls."""
         return self.json["error"]["code"] if self.status >= 400 else ""
 
 
@@ -258,10 +258,10 @@
     *,
     key: str = CALLER_KEY,
     headers: dict[str, str] | list[tuple[bytes, bytes]] = (),
-    leaves_after: float | None = None,
+    disconnect_after: float | None = None,
     body_pause: float = 0.0,
 ) -> Answer:
-    """Make a call of a caller, who may leave after some seconds."""
+    """Call the API as a caller who may disconnect after some seconds."""
     data = json.dumps(body).encode() if isinstance(body, dict) else body
     if isinstance(headers, dict):
         headers = [(n.encode(), v.encode("latin-1")) for n, v in headers.items()]
@@ -274,24 +274,24 @@
         "query_string": query.encode(),
         "headers": [(b"authorization", f"Bearer {key}".encode()), *headers],
     }
-    return await _Exchange(data, leaves_after, body_pause).run(api, scope)
+    return await _Exchange(data, disconnect_after, body_pause).run(api, scope)
 
 
 class _Exchange:
-    """One call as a server of ASGI makes it."""
+    """One call in the role of an ASGI server."""
 
-    def __init__(self, body: bytes, leaves_after: float | None, body_pause: float):
+    def __init__(self, body: bytes, disconnect_after: float | None, body_pause: float):
         half = len(body) // 2
         self._parts = [body[:half], body[half:]]
-        self._leaves_after = leaves_after
+        self._disconnect_after = disconnect_after
         self._body_pause = body_pause
         self._sent: list[dict] = []
-        self._has_left = False
+        self._has_disconnected = False
 
     async def run(self, api: Api, scope: dict) -> Answer:
-        """Return the answer, after checks that it's well-formed."""
+        """Run the call; check that the answer is well-formed and return it."""
         await api(scope, self._receive, self._send)
-        if self._has_left:
+        if self._has_disconnected:
             return Answer(0, {}, b"", [])
         start, *bodies = self._sent
         assert start["type"] == "http.response.start"
@@ -310,10 +310,10 @@
             part = self._parts.pop(0)
             more = bool(self._parts)
             return {"type": "http.request", "body": part, "more_body": more}
-        if self._leaves_after is None:
+        if self._disconnect_after is None:
             await trio.sleep_forever()
-        await trio.sleep(self._leaves_after)
-        self._has_left = True
+        await trio.sleep(self._disconnect_after)
+        self._has_disconnected = True
         return {"type": "http.disconnect"}
 
     async def _send(self, event: dict) -> None:
--- a/tests/api/test_announcements.py
+++ b/tests/api/test_announcements.py
@@ -1,4 +1,4 @@
-"""Upstreams announce themselves."""
+"""Announcements of upstreams over HTTP: decoding and validation."""
 
 import pytest
 
--- a/tests/api/test_callers.py
+++ b/tests/api/test_callers.py
@@ -1,4 +1,4 @@
-"""What callers get: answers, and refusals with a code."""
+"""API for callers: answers, streams, and refusals with a code."""
 
 import json
 
@@ -18,8 +18,8 @@
 SERVICE_PATH = "/services/venue-desk/charts"
 
 
-def events_of(body: bytes) -> list[tuple[str, dict | str]]:
-    """Return id and data of each server-sent event."""
+def parse_events(body: bytes) -> list[tuple[str, dict | str]]:
+    """Return the id and data of each server-sent event."""
     events = []
     for block in body.decode().removesuffix("\n\n").split("\n\n"):
         fields = dict(line.split(": ", 1) for line in block.split("\n"))
@@ -52,7 +52,7 @@
 async def test_streamed_answer(autojump_clock, path, body):
     options = {"stream": True, "stream_options": {"include_usage": True}}
     answer = await ask(FakeNode().api(), "POST", path, body | options)
-    *chunks, (_, end), (_, usage), (_, done) = events_of(answer.body)
+    *chunks, (_, end), (_, usage), (_, done) = parse_events(answer.body)
     parts = [
         c["choices"][0]["delta"]["content"]
         if path == CHAT_PATH
@@ -65,11 +65,11 @@
     assert end["choices"][0]["finish_reason"] == "stop"
     assert usage["usage"]["completion_tokens"] == 4
     assert (usage["choices"], done) == ([], "[DONE]")
-    # One message for each part, the end of the body in the last one.
+    # One ASGI event for each part; the last also ends the body.
     assert len(answer.events) == len(ANSWER) + 1
 
 
-async def test_stream_goes_on_from_an_event_id(autojump_clock):
+async def test_stream_resumes_after_event_id(autojump_clock):
     node = FakeNode()
     first = await ask(node.api(), "POST", PROMPT_PATH, PROMPT | {"stream": True})
     request_id = first.headers["x-request-id"]
@@ -79,7 +79,9 @@
         f"/v1/requests/{request_id}/events",
         headers={"last-event-id": f"{request_id}/2"},
     )
-    texts = [e["choices"][0]["text"] for _, e in events_of(rest.body) if e != "[DONE]"]
+    texts = [
+        e["choices"][0]["text"] for _, e in parse_events(rest.body) if e != "[DONE]"
+    ]
     assert "".join(texts) == "".join(ANSWER[2:])
 
 
@@ -235,7 +237,7 @@
 
 
 async def assert_refused(method, path, body, headers, code):
-    """Check that a call is refused at once and nothing is lost by it."""
+    """Check that a call is refused at once and that the host still serves others."""
     node = FakeNode()
     started = trio.current_time()
     answer = await ask(node.api(), method, path, body, headers=headers)
@@ -261,7 +263,7 @@
 
 
 @pytest.mark.parametrize("path", [PROMPT_PATH, SERVICE_PATH, "/operator/v1/drain"])
-async def test_host_without_configuration_sends_away(autojump_clock, path):
+async def test_host_without_configuration_names_other_hosts(autojump_clock, path):
     node = FakeNode()
     node.is_configured = False
     answer = await ask(node.api(), "POST", path, PROMPT)
@@ -270,27 +272,29 @@
     assert answer.headers["x-should-retry"] == "true"
 
 
-async def test_equal_key_gives_the_same_request(autojump_clock):
+async def test_same_idempotency_key_returns_same_request(autojump_clock):
     node = FakeNode()
     headers = {"idempotency-key": "order-7"}
     first = await ask(node.api(), "POST", PROMPT_PATH, PROMPT, headers=headers)
-    again = await ask(node.api(), "POST", PROMPT_PATH, PROMPT, headers=headers)
+    retried = await ask(node.api(), "POST", PROMPT_PATH, PROMPT, headers=headers)
     other = PROMPT | {"prompt": "Other."}
-    clash = await ask(node.api(), "POST", PROMPT_PATH, other, headers=headers)
-    assert first.json["id"] == again.json["id"]
-    assert (clash.status, clash.code) == (409, Code.IDEMPOTENCY_CONFLICT)
-    assert clash.headers["x-should-retry"] == "false"
+    conflict = await ask(node.api(), "POST", PROMPT_PATH, other, headers=headers)
+    assert first.json["id"] == retried.json["id"]
+    assert (conflict.status, conflict.code) == (409, Code.IDEMPOTENCY_CONFLICT)
+    assert conflict.headers["x-should-retry"] == "false"
     assert len(node.requests.submitted) == 1
 
 
-async def test_equal_key_gives_the_same_seed_at_hosts_cut_off(autojump_clock):
+async def test_same_idempotency_key_gives_same_seed_on_partitioned_hosts(
+    autojump_clock,
+):
     nodes = [FakeNode(), FakeNode()]
     for node, key in zip(nodes, ("order-7", "order-7"), strict=True):
         headers = {"idempotency-key": key}
         await ask(node.api(), "POST", PROMPT_PATH, PROMPT, headers=headers)
     await ask(nodes[0].api(), "POST", PROMPT_PATH, PROMPT)
-    first, again, other = [r for n in nodes[::-1] for r in n.requests.submitted]
-    assert first.seed == again.seed != other.seed
+    first, retried, other = [r for n in nodes[::-1] for r in n.requests.submitted]
+    assert first.seed == retried.seed != other.seed
 
 
 @pytest.mark.parametrize(
@@ -304,9 +308,7 @@
         (Execution.MAY_HAVE_RUN, None, "false", None),
     ],
 )
-async def test_repeat_is_offered_truthfully(
-    autojump_clock, execution, retry_after, repeats, header
-):
+async def test_retry_headers(autojump_clock, execution, retry_after, repeats, header):
     node = FakeNode()
     node.requests.refusal = Failure(
         Code.OVERLOADED, "Too much.", execution=execution, retry_after=retry_after
@@ -327,7 +329,7 @@
 
 
 @pytest.mark.parametrize("has_outcome", [False, True])
-async def test_failure_within_a_stream_is_told_in_it(autojump_clock, has_outcome):
+async def test_failure_during_stream_is_sent_as_event(autojump_clock, has_outcome):
     node = FakeNode()
     if has_outcome:
         node.requests.outcome = Outcome(
@@ -344,12 +346,12 @@
 
 
 @pytest.mark.parametrize("streams", [False, True])
-async def test_vanished_caller_is_not_read_for(autojump_clock, streams):
+async def test_reading_stops_when_caller_disconnects(autojump_clock, streams):
     node = FakeNode()
     node.requests.hangs_after = 2
     body = PROMPT | {"stream": streams}
     with trio.fail_after(10):
-        await ask(node.api(), "POST", PROMPT_PATH, body, leaves_after=5)
+        await ask(node.api(), "POST", PROMPT_PATH, body, disconnect_after=5)
     assert node.requests.reads_closed == 1
 
 
@@ -359,7 +361,7 @@
     assert (answer.status, answer.code) == (400, Code.INVALID_REQUEST)
 
 
-async def test_fault_of_the_host_shows_no_traceback(autojump_clock):
+async def test_internal_error_shows_no_traceback(autojump_clock):
     node = FakeNode()
     node.requests = None
     answer = await ask(node.api(), "POST", PROMPT_PATH, PROMPT)
@@ -368,5 +370,5 @@
     assert answer.json["error"]["execution"] == "may_have_run"
 
 
-def test_caller_key_is_not_kept():
+def test_configuration_does_not_contain_caller_key():
     assert CALLER_KEY not in str(FakeNode().configuration)
--- a/tests/api/test_documented_errors.py
+++ b/tests/api/test_documented_errors.py
@@ -1,4 +1,4 @@
-"""docs/INTERFACES.md names each code with the status that it's sent with."""
+"""The HTTP status of each error code must match the table in docs/INTERFACES.md."""
 
 import re
 from pathlib import Path
@@ -11,12 +11,12 @@
 
 DOCUMENT = Path(__file__).parents[2] / "docs" / "INTERFACES.md"
 ROW = re.compile(r"^\| ((?:`\w+`(?:, )?)+) \| (\d{3}) \|", re.MULTILINE)
-# A host with damaged files stops and answers nobody.
+# A host with corrupt files stops, so that it never answers with this code.
 NEVER_SENT = {Code.CORRUPT_STORAGE}
 
 
-def documented() -> dict[str, int]:
-    """Return the status of each code in the table."""
+def documented_statuses() -> dict[str, int]:
+    """Return the status by code, as documented in the table."""
     rows = ROW.findall(DOCUMENT.read_text())
     return {
         code: int(status)
@@ -30,4 +30,4 @@
     node = FakeNode()
     node.requests.refusal = Failure(code, "A test refuses.")
     answer = await ask(node.api(), "POST", PROMPT_PATH, PROMPT)
-    assert (answer.code, answer.status) == (code, documented()[code])
+    assert (answer.code, answer.status) == (code, documented_statuses()[code])
--- a/tests/api/test_ends.py
+++ b/tests/api/test_ends.py
@@ -1,4 +1,4 @@
-"""The end of a streamed answer arrives, however the connection sends it."""
+"""The end of a streamed answer must arrive over plain and TLS connections."""
 
 import json
 import ssl
@@ -12,13 +12,17 @@
 from tests.api.test_callers import PROMPT
 from tests.api.test_server import HEADERS, serving
 
-_STREAMS = 8
+_STREAM_COUNT = 8
 PROMPT_STREAM = json.dumps(PROMPT | {"stream": True}).encode()
 
 
 @pytest.mark.parametrize("scheme", ["http", "https"])
 async def test_streams_arrive_whole(scheme, tmp_path, unused_tcp_port):
-    """Hypercorn tells the application that all is over before it's sent."""
+    """Guards against streams without their last event.
+
+    Hypercorn signals a disconnect to the application before the end has been sent,
+    and the application then cancels the sending.
+    """
     authority = trustme.CA()
     pem = tmp_path / "host.pem"
     issued = authority.issue_cert("127.0.0.1")
@@ -29,7 +33,7 @@
     url = f"{scheme}://127.0.0.1:{unused_tcp_port}/v1/completions"
     async with serving(FakeNode(), unused_tcp_port, tls if scheme == "https" else None):
         async with httpcore.AsyncConnectionPool(ssl_context=context) as pool:
-            for _ in range(_STREAMS):
+            for _ in range(_STREAM_COUNT):
                 answer = await pool.request(
                     "POST",
                     url,
--- a/tests/api/test_fuzz.py
+++ b/tests/api/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Whatever is sent, the answer is typed and the host goes on."""
+"""Arbitrary input must get an answer or a typed error, never an internal one."""
 
 import json
 
@@ -56,7 +56,7 @@
 
 
 def ask_once(method: str, path: str, body: bytes, key: str, headers=()) -> None:
-    """Make a call and check that its answer is a typed one."""
+    """Make a call and check that an error has a code other than INTERNAL."""
 
     async def run() -> None:
         node = FakeNode()
--- a/tests/api/test_operators.py
+++ b/tests/api/test_operators.py
@@ -1,4 +1,4 @@
-"""What operators ask of a host."""
+"""Operator API of a host."""
 
 import pytest
 
@@ -14,8 +14,10 @@
 }
 
 
-async def operate(node: FakeNode, method: str, name: str, body=b"", **options):
-    """Make a call of an operator."""
+async def call_operator_api(
+    node: FakeNode, method: str, name: str, body=b"", **options
+):
+    """Make a call with the operator's key."""
     path = f"/operator/v1/{name}"
     return await ask(node.api(), method, path, body, key=OPERATOR_KEY, **options)
 
@@ -30,12 +32,12 @@
     ],
 )
 async def test_views(autojump_clock, name, member, expected):
-    value = (await operate(FakeNode(), "GET", name)).json[member]
+    value = (await call_operator_api(FakeNode(), "GET", name)).json[member]
     assert (value if isinstance(expected, str) else len(value)) == expected
 
 
-async def test_configuration_tells_origins(autojump_clock):
-    view = (await operate(FakeNode(), "GET", "configuration")).json
+async def test_configuration_shows_origins(autojump_clock):
+    view = (await call_operator_api(FakeNode(), "GET", "configuration")).json
     values = {each["path"]: each for each in view["values"]}
     expected = {
         "deployments.zaseki-model.max_replicas": ("8", "kitahara"),
@@ -52,11 +54,11 @@
 
 async def test_change_is_accepted_once(autojump_clock):
     node = FakeNode()
-    first = await operate(node, "POST", "configuration", CHANGE)
+    first = await call_operator_api(node, "POST", "configuration", CHANGE)
     assert (first.status, first.json["status"]) == (200, "accepted")
     assert first.json["revision"] == 2
     change = CHANGE | {"change_id": "change-2"}
-    second = await operate(node, "POST", "configuration", change)
+    second = await call_operator_api(node, "POST", "configuration", change)
     assert (second.status, second.json["status"]) == (409, "conflict")
     assert second.json["winner"]["operator"] == "chief"
     assert {change.operator for change in node.store.changes} == {"chief"}
@@ -76,25 +78,27 @@
 )
 async def test_bad_change_is_refused(autojump_clock, change):
     node = FakeNode()
-    answer = await operate(node, "POST", "configuration", CHANGE | change)
+    answer = await call_operator_api(node, "POST", "configuration", CHANGE | change)
     assert (answer.status, answer.code) == (400, Code.INVALID_REQUEST)
     assert node.store.changes == []
 
 
 async def test_drain_and_events(autojump_clock):
     node = FakeNode()
-    assert (await operate(node, "POST", "drain", {"host": "entry-1"})).status == 200
+    assert (
+        await call_operator_api(node, "POST", "drain", {"host": "entry-1"})
+    ).status == 200
     assert node.drained == ["entry-1"]
-    unknown = await operate(node, "POST", "drain", {"host": "entry-9"})
+    unknown = await call_operator_api(node, "POST", "drain", {"host": "entry-9"})
     assert (unknown.status, unknown.code) == (404, Code.UNKNOWN_NAME)
     node.events.note("fleet", "Started a host.", "Its zone is cheap.")
-    (first, second) = (await operate(node, "GET", "events")).json["events"]
+    (first, second) = (await call_operator_api(node, "GET", "events")).json["events"]
     assert first["text"] == "Host entry-1 drains."
     assert second["reason"] == "Its zone is cheap."
-    rest = await operate(node, "GET", f"events?after={first['id']}&limit=5")
+    rest = await call_operator_api(node, "GET", f"events?after={first['id']}&limit=5")
     assert rest.json["events"] == [second]
     for query in ("after=x", "limit=-1", "limit=%C2%B2", "after=" + "9" * 30):
-        answer = await operate(node, "GET", f"events?{query}")
+        answer = await call_operator_api(node, "GET", f"events?{query}")
         assert answer.code == Code.INVALID_REQUEST
 
 
@@ -104,10 +108,10 @@
     node.explanations.note(
         "entry-0.cmpl-1", StepKind.DISPATCHED, attempt=1, upstream="engine-0"
     )
-    answer = await operate(node, "GET", "explain/entry-0.cmpl-1")
+    answer = await call_operator_api(node, "GET", "explain/entry-0.cmpl-1")
     assert [step["kind"] for step in answer.json["steps"]] == ["accepted", "dispatched"]
     assert answer.json["told_by"] == "entry-0"
-    missing = await operate(node, "GET", "explain/entry-1.cmpl-2")
+    missing = await call_operator_api(node, "GET", "explain/entry-1.cmpl-2")
     assert (missing.status, missing.code) == (404, Code.UNKNOWN_REQUEST)
 
 
--- a/tests/api/test_peer_tls.py
+++ b/tests/api/test_peer_tls.py
@@ -1,4 +1,4 @@
-"""Mutual TLS between hosts."""
+"""Mutual TLS between hosts: peers without a trusted certificate are refused."""
 
 import socket
 from contextlib import asynccontextmanager
@@ -14,8 +14,8 @@
 ADDRESS = "127.0.0.1"
 
 
-def credentials_of(authority: trustme.CA, trusted: trustme.CA | None = None):
-    """Return credentials signed by one authority that trust another."""
+def make_credentials(authority: trustme.CA, trusted: trustme.CA | None = None):
+    """Return credentials issued by `authority` that trust `trusted` instead of it."""
     certificate = authority.issue_cert(ADDRESS)
     return PeerCredentials(
         b"".join(blob.bytes() for blob in certificate.cert_chain_pems),
@@ -25,8 +25,8 @@
 
 
 @asynccontextmanager
-async def peers_of(*all_credentials: PeerCredentials | None):
-    """Run a server and clients that know its address; yields the clients."""
+async def running_peers(*all_credentials: PeerCredentials | None):
+    """Run a server and clients connected to it; yield the clients."""
     ports = []
     for _ in all_credentials:
         with socket.create_server((ADDRESS, 0)) as server:
@@ -50,24 +50,29 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_only_peers_with_a_certificate_are_let_in():
-    authority, stranger = trustme.CA(), trustme.CA()
-    good = credentials_of(authority)
-    async with peers_of(
-        good, credentials_of(authority), None, credentials_of(stranger, authority)
-    ) as (friend, naked, forger):
+async def test_server_accepts_only_trusted_client_certificates():
+    authority, untrusted_authority = trustme.CA(), trustme.CA()
+    good = make_credentials(authority)
+    async with running_peers(
+        good,
+        make_credentials(authority),
+        None,
+        make_credentials(untrusted_authority, authority),
+    ) as (trusted_peer, peer_without_certificate, untrusted_peer):
         message = journal_pb2.ReadAnswer(request_id="entry-0.cmpl-1")
-        answer = await friend.call("entry-0", message, 5)
+        answer = await trusted_peer.call("entry-0", message, 5)
         assert answer.owner == "entry-1"
-        for peers in (naked, forger):
+        for peers in (peer_without_certificate, untrusted_peer):
             with pytest.raises(Failure) as caught:
                 await peers.call("entry-0", message, 5)
             assert caught.value.code is Code.PEER_UNREACHABLE
 
 
-async def test_host_trusts_no_server_of_a_stranger():
-    authority, stranger = trustme.CA(), trustme.CA()
-    async with peers_of(credentials_of(stranger), credentials_of(authority)) as (peer,):
+async def test_client_refuses_untrusted_server_certificate():
+    authority, untrusted_authority = trustme.CA(), trustme.CA()
+    async with running_peers(
+        make_credentials(untrusted_authority), make_credentials(authority)
+    ) as (peer,):
         with pytest.raises(Failure) as caught:
             await peer.call("entry-0", journal_pb2.ReadAnswer(), 5)
     assert caught.value.code is Code.PEER_UNREACHABLE
--- a/tests/api/test_server.py
+++ b/tests/api/test_server.py
@@ -1,4 +1,4 @@
-"""The HTTP interface over real connections: clients, limits and TLS."""
+"""The HTTP API over real connections: client library, limits and TLS."""
 
 import json
 import ssl
@@ -24,7 +24,7 @@
 
 
 def settings_of(port: int, tls: TlsSettings | None = None) -> Settings:
-    """Return settings of a host on loopback."""
+    """Return settings of a host on the loopback interface."""
     host = HostSettings(
         name="entry-0",
         zone="zone-a",
@@ -40,7 +40,7 @@
 async def serving(
     node: FakeNode, port: int, tls: TlsSettings | None = None, application=None
 ):
-    """Serve a node, or `application`, until the block ends; yields its stop."""
+    """Serve a node, or `application`; yield the event that stops the server."""
     application = application or node.api()
     stop = trio.Event()
     async with trio.open_nursery() as nursery:
@@ -57,7 +57,7 @@
 
 
 def ask_openai(port: int) -> tuple[str, str, list[str], str]:
-    """Make three calls by the client library."""
+    """Make calls with the OpenAI client; return their results."""
     url = f"http://127.0.0.1:{port}/v1"
     client = openai.OpenAI(base_url=url, api_key=CALLER_KEY)
     whole = client.chat.completions.create(model="zaseki-model", messages=MESSAGES)
@@ -75,8 +75,8 @@
     return whole.choices[0].message.content, text, models, plain.choices[0].text
 
 
-def count_of_tries(port: int) -> str:
-    """Return the code of a refusal that the client library gives up on."""
+def call_until_given_up(port: int) -> str:
+    """Return the error code of a call that the OpenAI client gives up on."""
     url = f"http://127.0.0.1:{port}/v1"
     client = openai.OpenAI(base_url=url, api_key=CALLER_KEY, max_retries=2)
     with pytest.raises(openai.APIStatusError) as caught:
@@ -91,7 +91,7 @@
 
 
 @pytest.mark.parametrize(("retry_after", "tries"), [(None, 1), (0.001, 3)])
-async def test_openai_client_repeats_only_when_told(
+async def test_openai_client_retries_only_if_allowed(
     unused_tcp_port, retry_after, tries
 ):
     node = FakeNode()
@@ -103,11 +103,11 @@
 
     node.requests.submit = submit
     async with serving(node, unused_tcp_port):
-        code = await trio.to_thread.run_sync(count_of_tries, unused_tcp_port)
+        code = await trio.to_thread.run_sync(call_until_given_up, unused_tcp_port)
     assert (code, len(seen)) == (Code.NO_UPSTREAM, tries)
 
 
-async def test_refusal_of_a_large_body_arrives_while_it_is_sent(unused_tcp_port):
+async def test_large_body_is_refused_while_being_sent(unused_tcp_port):
     head = f"authorization: Bearer {CALLER_KEY}\r\ncontent-length: 30000000"
     async with serving(FakeNode(), unused_tcp_port):
         stream = await trio.open_tcp_stream("127.0.0.1", unused_tcp_port)
@@ -117,26 +117,26 @@
         while b"body_too_large" not in answer:
             answer += await stream.receive_some(10_000)
         assert answer.startswith(b"HTTP/1.1 413")
-        # A connection that was closed would break here.
+        # Fails if the server has already closed the connection.
         await stream.send_all(b"x" * 29_000_000)
 
 
-async def test_connections_are_limited_as_configured_now(unused_tcp_port):
+async def test_connection_limit_follows_configuration(unused_tcp_port):
     url = f"http://127.0.0.1:{unused_tcp_port}/healthz"
     node = FakeNode()
     async with serving(node, unused_tcp_port):
         limits = replace(node.configuration.limits, max_connections=2)
         node.store.current = replace(node.store.current, limits=limits)
-        held = [await trio.open_tcp_stream("127.0.0.1", unused_tcp_port)]
-        held.append(await trio.open_tcp_stream("127.0.0.1", unused_tcp_port))
-        for stream in held:
+        open_streams = [await trio.open_tcp_stream("127.0.0.1", unused_tcp_port)]
+        open_streams.append(await trio.open_tcp_stream("127.0.0.1", unused_tcp_port))
+        for stream in open_streams:
             await stream.send_all(b"GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n")
             assert (await stream.receive_some(1000)).startswith(b"HTTP/1.1 200")
         async with httpcore.AsyncConnectionPool() as pool:
             answer = await pool.request("GET", url)
         assert answer.status == 503
         assert json.loads(answer.content)["error"]["code"] == Code.OVERLOADED
-        for stream in held:
+        for stream in open_streams:
             await stream.aclose()
 
 
@@ -158,7 +158,7 @@
         await trio.open_tcp_stream("127.0.0.1", unused_tcp_port)
 
 
-async def test_large_answer_keeps_its_order_for_a_slow_caller(unused_tcp_port):
+async def test_large_answer_to_slow_caller_stays_in_order(unused_tcp_port):
     pieces = [b"%06d" % n * 5000 for n in range(300)]
 
     async def application(scope, receive, send):
@@ -172,13 +172,13 @@
     async with serving(FakeNode(), unused_tcp_port, application=application):
         async with httpcore.AsyncConnectionPool() as pool:
             async with pool.stream("GET", url) as response:
-                # The caller's buffers fill up meanwhile.
+                # Lets the caller's receive buffer fill up.
                 await trio.sleep(0.2)
                 body = await response.aread()
     assert body == b"".join(pieces)
 
 
-async def test_calls_in_a_row_are_answered_in_order(unused_tcp_port):
+async def test_pipelined_calls_are_answered_in_order(unused_tcp_port):
     paths = [b"/healthz", b"/nothing", b"/readyz", b"/healthz"]
     calls = [b"GET %s HTTP/1.1\r\nhost: x\r\n\r\n" % path for path in paths]
     answers = b""
@@ -213,7 +213,7 @@
                 await pool.request("GET", url.replace("https", "http"))
 
 
-async def test_taken_address_is_an_error(unused_tcp_port):
+async def test_address_in_use_is_an_error(unused_tcp_port):
     async with serving(FakeNode(), unused_tcp_port):
         with pytest.raises(OSError):
             await serve_api(
