--- a/proofs/mechanisms.py
+++ b/proofs/mechanisms.py
@@ -193,7 +193,7 @@
         "adapters/http_api/server.py",
         "_GRACEFUL_SECONDS = 3600.0",
         "_GRACEFUL_SECONDS = 0.0",
-        ("tests/api/test_server.py::test_graceful_stop_cuts_off_no_stream",),
+        ("tests/api/test_server.py::test_graceful_stop_finishes_open_streams",),
     ),
     Mechanism(
         7,
--- a/tests/api/test_server.py
+++ b/tests/api/test_server.py
@@ -140,7 +140,7 @@
             await stream.aclose()
 
 
-async def test_graceful_stop_cuts_off_no_stream(unused_tcp_port):
+async def test_graceful_stop_finishes_open_streams(unused_tcp_port):
     url = f"http://127.0.0.1:{unused_tcp_port}/v1/completions"
     node = FakeNode()
     body = json.dumps(PROMPT | {"stream": True}).encode()
