--- a/tests/wire/test_wire.py
+++ b/tests/wire/test_wire.py
@@ -1,4 +1,8 @@
-"""Real daemons on loopback speak the platform's messages with a stand-in."""
+"""Real daemons on loopback exchange the platform's messages with a stand-in.
+
+Guards the whole path of requests, drains, restarts with stored data, the replacement
+of a lost disk, and the checks of the settings file.
+"""
 
 import json
 import signal
@@ -16,7 +20,7 @@
 
 
 def table(version: int, **changes) -> bytes:
-    """Return an operator's document with a plain route and a stream."""
+    """Return an operator's document with a plain route and a stream route."""
     base = {"host": "a.example", "timeout_ms": 9000, "service": "plain"}
     routes = [
         base | {"name": "once", "path_prefix": "/once/", "kind": "unsafe"},
@@ -31,7 +35,7 @@
     return json.dumps(document | changes).encode()
 
 
-async def open_all(site: Site):
+async def start_all(site: Site):
     """Start three control hosts and two entry hosts with a table and an upstream."""
     for number in SEEDS:
         site.start(f"control-{number}", number, is_first=True, seeds=SEEDS)
@@ -47,12 +51,12 @@
 
 async def test_whole_path(tmp_path):
     async with Site.open(tmp_path) as site:
-        upstream = await open_all(site)
+        upstream = await start_all(site)
 
-        async def all_are_told() -> bool:
+        async def all_entry_hosts_are_listed() -> bool:
             return len(await site.resolve()) == 2
 
-        await site.wait(all_are_told)
+        await site.wait(all_entry_hosts_are_listed)
         answer = await site.request("entry-4", "/once/1", KEY, body=b"chart")
         assert (answer.status, answer.body) == (200, b"chart")
         assert answer.headers[b"pepperstep-replica-seal"] == b"u1"
@@ -67,17 +71,17 @@
         assert json.loads(read.body)["version"] == 7
 
 
-async def test_drain_cuts_nothing_and_a_restart_knows_all(tmp_path):
+async def test_drain_finishes_streams_and_restart_keeps_configuration(tmp_path):
     async with Site.open(tmp_path) as site:
-        await open_all(site)
+        await start_all(site)
         streams = []
 
-        async def ask() -> None:
+        async def read_stream() -> None:
             streams.append(await site.request("entry-4", "/stream/1", KEY))
 
         async with trio.open_nursery() as nursery:
             for _ in range(5):
-                nursery.start_soon(ask)
+                nursery.start_soon(read_stream)
             await trio.sleep(0.1)
             site.daemons["entry-4"].stop()
 
@@ -98,24 +102,24 @@
         assert json.loads(read.body)["version"] == 7
 
 
-async def test_lost_disk_and_a_host_at_another_address(tmp_path):
+async def test_replacement_of_host_with_lost_disk(tmp_path):
     async with Site.open(tmp_path) as site:
-        await open_all(site)
+        await start_all(site)
         site.daemons["control-3"].stop(signal.SIGKILL)
         await site.wait_end("control-3")
         site.start("control-8", 8, is_first=False, seeds=[1, 2, 8])
 
-        async def knows_table() -> bool:
+        async def has_table() -> bool:
             text = site.daemons["control-8"].log.read_text()
             return '"event":"routes_in_force","version":7' in text
 
-        await site.wait(knows_table)
+        await site.wait(has_table)
         accepted = await site.operate(b"POST", "/-/Config.Replace", table(9))
         assert accepted.status == 200
 
 
 def run_daemon(tmp_path: Path, text: str | None) -> subprocess.CompletedProcess:
-    """Run the daemon with a settings file, None for one that isn't there."""
+    """Run the daemon's check with a settings file, which is missing for None."""
     path = tmp_path / "settings.json"
     if text is not None:
         path.write_text(text)
@@ -130,14 +134,14 @@
 
 
 @pytest.mark.parametrize("text", [None, "{", "{}", '{"node_name": 3}'])
-def test_unusable_settings_are_told_in_lines_without_a_traceback(tmp_path, text):
+def test_invalid_settings_are_reported_without_traceback(tmp_path, text):
     result = run_daemon(tmp_path, text)
     assert result.returncode == 2
     assert result.stderr.startswith("pepperstepd: ")
     assert "Traceback" not in result.stderr
 
 
-def test_check_tells_all_findings(tmp_path):
+def test_check_reports_all_findings(tmp_path):
     settings = {
         "node_name": "core-1",
         "ip": "127.0.0.1",
@@ -153,7 +157,7 @@
         assert place in result.stderr
 
 
-def test_check_of_good_settings_starts_nothing(tmp_path):
+def test_check_of_valid_settings_only_validates(tmp_path):
     settings = {
         "node_name": "edge-1",
         "ip": "127.0.0.1",
