--- a/src/pepperstep/adapters/http1/client.py
+++ b/src/pepperstep/adapters/http1/client.py
@@ -7,7 +7,7 @@
 import h11
 import trio
 
-from pepperstep.adapters.http1.framing import end_to_end
+from pepperstep.adapters.http1.framing import end_to_end_headers
 from pepperstep.ports.exchange import AnswerHead, ConnectionFault, RequestHead
 from pepperstep.tasks import run_beside
 
@@ -67,7 +67,9 @@
 
     async def send(self, head: RequestHead, body: bytes) -> AnswerHead:
         """Send a request and return the head of its answer."""
-        headers = [each for each in end_to_end(head.headers) if each[0] != b"expect"]
+        headers = [
+            each for each in end_to_end_headers(head.headers) if each[0] != b"expect"
+        ]
         headers = [each for each in headers if each[0] != b"content-length"]
         if body or head.first(b"content-length"):
             headers.append((b"content-length", b"%d" % len(body)))
--- a/src/pepperstep/adapters/http1/framing.py
+++ b/src/pepperstep/adapters/http1/framing.py
@@ -4,7 +4,7 @@
 
 from pepperstep.ports.exchange import Header
 
-__all__ = ["end_to_end", "has_conflicting_framing"]
+__all__ = ["end_to_end_headers", "has_conflicting_framing"]
 
 _HOP_BY_HOP = frozenset(
     (
@@ -34,7 +34,7 @@
     return encodings > 1 or b"content-length" in names
 
 
-def end_to_end(headers: Iterable[Header]) -> list[Header]:
+def end_to_end_headers(headers: Iterable[Header]) -> list[Header]:
     """Return the headers without the hop-by-hop ones."""
     headers = list(headers)
     hop_by_hop = set(_HOP_BY_HOP)
--- a/src/pepperstep/adapters/http_api/announcements.py
+++ b/src/pepperstep/adapters/http_api/announcements.py
@@ -93,7 +93,7 @@
 
 
 class AnnouncementAnswer(msgspec.Struct):
-    """The renewed lease, in answer to an announcement."""
+    """The lease that an upstream gets in answer to its announcement."""
 
     lease_seconds: float
     heartbeat_seconds: float
--- a/src/pepperstep/adapters/http_api/web.py
+++ b/src/pepperstep/adapters/http_api/web.py
@@ -31,7 +31,7 @@
 _DISCARD_BYTES = 64 * 1024 * 1024
 # Clients ignore a longer `Retry-After` and retry at once.
 _MAX_RETRY_AFTER_SECONDS = 60.0
-# Headers that may occur only once.
+# Headers that may occur only once, because a second value would contradict the first.
 _SINGLE_HEADERS = frozenset(
     {
         b"authorization",
@@ -272,7 +272,8 @@
 def _should_retry(failure: Failure) -> bool:
     """Whether a client may retry the call automatically after `retry_after`.
 
-    Calls that may have run must not be retried automatically.
+    Calls that may have run must not be retried automatically, nor calls with a
+    `retry_after` that clients would ignore.
     """
     if failure.retry_after is None or failure.execution is not Execution.NOT_RUN:
         return False
--- a/src/pepperstep/adapters/json_line_handler.py
+++ b/src/pepperstep/adapters/json_line_handler.py
@@ -55,7 +55,7 @@
 
 
 class JsonLineHandler(standard_logging.Handler):
-    """Writes JSON lines to a file descriptor; drops and counts lines if it's full."""
+    """Writes JSON lines to a file descriptor; drops and counts blocking ones."""
 
     def __init__(self, host: str, descriptor: int = 1):
         super().__init__()
--- a/src/pepperstep/platform/calls.py
+++ b/src/pepperstep/platform/calls.py
@@ -18,7 +18,7 @@
 __all__ = [
     "ControlCalls",
     "DirectoryCalls",
-    "Entries",
+    "EntryDirectory",
     "Operations",
     "ReadinessCalls",
 ]
@@ -35,7 +35,7 @@
 _RETRY_HEADERS = (*_JSON, (b"retry-after", b"0.2"))
 
 
-class Entries(Protocol):
+class EntryDirectory(Protocol):
     """Directory of entry hosts."""
 
     def entry_addresses(self, zone: str) -> list[str]:
@@ -206,9 +206,9 @@
 class DirectoryCalls:
     """Handles directory queries: the addresses to which callers connect."""
 
-    def __init__(self, entries: Entries, keep_seconds: float):
-        self._entries = entries
-        self._keep_seconds = keep_seconds
+    def __init__(self, entry_directory: EntryDirectory, ttl_seconds: float):
+        self._entry_directory = entry_directory
+        self._ttl_seconds = ttl_seconds
 
     async def handle(self, exchange: Exchange) -> None:
         """Answer one query."""
@@ -217,14 +217,14 @@
             await exchange.answer(_NOT_FOUND)
             return
         zone = call.query.get("zone", [""])[0]
-        addresses = self._entries.entry_addresses(zone)
+        addresses = self._entry_directory.entry_addresses(zone)
         if not addresses:
             failure = Failure(Code.NOT_READY, "No entry host is ready.")
             await exchange.answer(_error(503, failure))
             return
         answer = {
             "addresses": addresses,
-            "ttl_s": self._keep_seconds,
+            "ttl_s": self._ttl_seconds,
         }
         await exchange.answer(Answer(200, msgspec.json.encode(answer), _JSON))
 
