--- a/src/pepperstep/adapters/http1/metrics.py
+++ b/src/pepperstep/adapters/http1/metrics.py
@@ -3,12 +3,12 @@
 from pepperstep.observability.relay_metrics import RelayMetrics
 from pepperstep.ports.exchange import Answer, Exchange
 
-__all__ = ["MetricsCalls"]
+__all__ = ["MetricsHandler"]
 
 _PATH = b"/metrics"
 
 
-class MetricsCalls:
+class MetricsHandler:
     """Serves all metrics in the text exposition format at `/metrics`."""
 
     def __init__(self, metrics: RelayMetrics):
--- a/src/pepperstep/platform/__init__.py
+++ b/src/pepperstep/platform/__init__.py
@@ -5,10 +5,10 @@
 """
 
 from pepperstep.platform.calls import (
-    ControlCalls,
-    DirectoryCalls,
+    ControlHandler,
+    DirectoryHandler,
     Operations,
-    ReadinessCalls,
+    ReadinessHandler,
 )
 from pepperstep.platform.cloud import PlatformCloud
 from pepperstep.platform.documents import TableDecoder, decode_table
@@ -17,12 +17,12 @@
 
 __all__ = [
     "SETTINGS_VARIABLE",
-    "ControlCalls",
-    "DirectoryCalls",
+    "ControlHandler",
+    "DirectoryHandler",
     "Operations",
     "PlatformCloud",
     "PlatformWire",
-    "ReadinessCalls",
+    "ReadinessHandler",
     "TableDecoder",
     "decode_table",
     "read_platform_settings",
--- a/src/pepperstep/platform/calls.py
+++ b/src/pepperstep/platform/calls.py
@@ -16,11 +16,11 @@
 from pepperstep.rollouts import Rollout
 
 __all__ = [
-    "ControlCalls",
-    "DirectoryCalls",
+    "ControlHandler",
+    "DirectoryHandler",
     "EntryDirectory",
     "Operations",
-    "ReadinessCalls",
+    "ReadinessHandler",
 ]
 
 _JSON = ((b"content-type", b"application/json"),)
@@ -128,7 +128,7 @@
         return cls(exchange.head.method, path, parse_qs(query), exchange.body)
 
 
-class ControlCalls:
+class ControlHandler:
     """Handles calls of operators and upstreams."""
 
     def __init__(self, operations: Operations, decoder: TableDecoder | None = None):
@@ -203,7 +203,7 @@
         return Answer(200, b"{}", _JSON)
 
 
-class DirectoryCalls:
+class DirectoryHandler:
     """Handles directory queries: the addresses to which callers connect."""
 
     def __init__(self, entry_directory: EntryDirectory, ttl_seconds: float):
@@ -229,7 +229,7 @@
         await exchange.answer(Answer(200, msgspec.json.encode(answer), _JSON))
 
 
-class ReadinessCalls:
+class ReadinessHandler:
     """Handles the platform's readiness probes of an entry host."""
 
     def __init__(self, is_ready: Callable[[], bool]):
--- a/src/pepperstep/programs/relay_daemon.py
+++ b/src/pepperstep/programs/relay_daemon.py
@@ -18,7 +18,7 @@
 
 from pepperstep.adapters.files import FolderStorage
 from pepperstep.adapters.grpc_peers import GrpcPeers
-from pepperstep.adapters.http1 import Http1Connector, Http1Server, MetricsCalls
+from pepperstep.adapters.http1 import Http1Connector, Http1Server, MetricsHandler
 from pepperstep.adapters.json_line_handler import set_up_json_logging
 from pepperstep.adapters.timers import TrioTimers
 from pepperstep.entities.routes import CallerLimits
@@ -26,11 +26,11 @@
 from pepperstep.observability.relay_metrics import RelayMetrics
 from pepperstep.platform import (
     SETTINGS_VARIABLE,
-    ControlCalls,
-    DirectoryCalls,
+    ControlHandler,
+    DirectoryHandler,
     PlatformCloud,
     PlatformWire,
-    ReadinessCalls,
+    ReadinessHandler,
     TableDecoder,
     read_platform_settings,
 )
@@ -167,7 +167,7 @@
     nursery: trio.Nursery,
 ) -> None:
     role = settings.control
-    calls = ControlCalls(control, decoder)
+    calls = ControlHandler(control, decoder)
     server = Http1Server(
         role.operator_address, calls.handle, lambda: _OPERATOR_LIMITS, timers.now
     )
@@ -187,7 +187,7 @@
     nursery: trio.Nursery,
 ) -> None:
     keep = min(_DIRECTORY_SECONDS, settings.bounds.directory_seconds)
-    calls = DirectoryCalls(host, keep)
+    calls = DirectoryHandler(host, keep)
     server = Http1Server(address, calls.handle, CallerLimits, timers.now)
     await nursery.start(server.run)
 
@@ -207,7 +207,7 @@
     )
     await nursery.start(server.run)
     if role.readiness_address:
-        readiness = ReadinessCalls(lambda: entry.is_ready)
+        readiness = ReadinessHandler(lambda: entry.is_ready)
         other = Http1Server(
             role.readiness_address, readiness.handle, CallerLimits, timers.now
         )
@@ -227,7 +227,7 @@
     host = settings.peer_address.rpartition(":")[0]
     server = Http1Server(
         f"{host}:{METRICS_PORT}",
-        MetricsCalls(metrics).handle,
+        MetricsHandler(metrics).handle,
         CallerLimits,
         timers.now,
     )
--- a/tests/relaying/test_upstream_restarts.py
+++ b/tests/relaying/test_upstream_restarts.py
@@ -9,7 +9,7 @@
 from pepperstep.coordination import Announcement, UpstreamBook
 from pepperstep.errors import Code, Failure
 from pepperstep.fakes.relaying import FakeExchange, Reply
-from pepperstep.platform import ControlCalls
+from pepperstep.platform import ControlHandler
 from pepperstep.ports.exchange import AnswerHead, RequestHead
 from tests.relaying.world import document, open_world, request
 
@@ -202,7 +202,7 @@
     """Send a heartbeat, or the call of an upstream that ends."""
     head = RequestHead(b"POST", f"/-/Replicas.{call}/{upstream}".encode(), ())
     exchange = FakeExchange(head, body, trio.current_time())
-    await ControlCalls(host).handle(exchange)
+    await ControlHandler(host).handle(exchange)
     return exchange.status
 
 
--- a/tests/rollouts/test_calls.py
+++ b/tests/rollouts/test_calls.py
@@ -6,7 +6,7 @@
 import trio
 
 from pepperstep.fakes.relaying import FakeExchange
-from pepperstep.platform import ControlCalls
+from pepperstep.platform import ControlHandler
 from pepperstep.ports.exchange import RequestHead
 from tests.relaying.world import open_world
 
@@ -15,7 +15,7 @@
 
 async def call(control, method, path, body=b""):
     exchange = FakeExchange(RequestHead(method, path.encode(), ()), body)
-    await ControlCalls(control).handle(exchange)
+    await ControlHandler(control).handle(exchange)
     return exchange.status, json.loads(exchange.received)
 
 
