--- a/proofs/changes.py
+++ b/proofs/changes.py
@@ -7,7 +7,7 @@
 _TABLES = "tests/relaying/test_table_changes.py::"
 _UPDATES = "tests/relaying/test_table_updates.py::"
 _HOSTS = "tests/rollouts/test_hosts.py::"
-_JUDGEMENT = "tests/rollouts/test_judgement.py::"
+_EVALUATION = "tests/rollouts/test_judgement.py::"
 _MACHINE = "tests/rollouts/test_machine.py::"
 _VERSIONS = "tests/rollouts/test_versions.py::"
 
@@ -18,7 +18,7 @@
         "coordination/table_history.py",
         "            if step.from_version == version:",
         "            if False:",
-        (f"{_TABLES}test_small_change_on_top_of_them_is_small",),
+        (f"{_TABLES}test_small_change_of_large_table_is_small",),
     ),
     Mechanism(
         7,
@@ -26,7 +26,7 @@
         "coordination/table_fetcher.py",
         "            offset=len(self._partial.data),",
         "            offset=0,",
-        (f"{_TABLES}test_transfer_goes_on_at_another_control_host",),
+        (f"{_TABLES}test_transfer_continues_at_another_control_host",),
     ),
     Mechanism(
         7,
@@ -34,7 +34,7 @@
         "coordination/table_updates.py",
         "    if _digest(data) != step.digest:",
         "    if False:",
-        (f"{_UPDATES}test_step_that_leads_to_other_bytes_is_refused",),
+        (f"{_UPDATES}test_step_with_wrong_digest_is_refused",),
     ),
     Mechanism(
         7,
@@ -42,7 +42,7 @@
         "coordination/table_updates.py",
         "    if step.from_version != held.version:",
         "    if False:",
-        (f"{_UPDATES}test_step_from_another_version_asks_for_the_whole",),
+        (f"{_UPDATES}test_step_from_other_version_needs_whole_document",),
     ),
     Mechanism(
         7,
@@ -50,7 +50,7 @@
         "coordination/table_fetcher.py",
         "            if version > held and self._passed_until.get(name, now) <= now",
         "            if version > held",
-        (f"{_UPDATES}test_control_host_that_tells_nonsense_is_passed_over",),
+        (f"{_UPDATES}test_control_host_with_bad_updates_is_skipped",),
     ),
     Mechanism(
         7,
@@ -98,22 +98,22 @@
     Mechanism(
         7,
         "outcomes since the latest step are judged alone, too",
-        "rollouts/judgement.py",
+        "rollouts/evaluation.py",
         "    if before is not None:",
         "    if False:",
         (
-            f"{_JUDGEMENT}"
+            f"{_EVALUATION}"
             "test_version_that_turns_bad_by_its_load_is_found_in_spite_of_its_record",
         ),
     ),
     Mechanism(
         7,
         "what one of several upstreams does isn't its version's fault",
-        "rollouts/judgement.py",
+        "rollouts/evaluation.py",
         "    if len(upstreams) < 2:",
         "    if True:",
         (
-            f"{_JUDGEMENT}"
+            f"{_EVALUATION}"
             "test_what_one_of_several_upstreams_does_is_not_the_versions_fault",
         ),
     ),
--- a/proofs/relay.py
+++ b/proofs/relay.py
@@ -17,7 +17,7 @@
 )
 _GROUP = "tests/relaying/test_group.py::"
 _LOST = "tests/relaying/test_lost_contact.py::"
-_ORDERING = "tests/relaying/test_ordering.py::"
+_ORDERING = "tests/relaying/test_autoscaler.py::"
 _PLACEMENT = "tests/relaying/test_placement.py::"
 _QUOTAS = "tests/relaying/test_quota_windows.py::"
 _PARTIAL = "tests/relaying/test_partial_views.py::"
@@ -33,19 +33,17 @@
         5,
         "an upstream that says in an answer that it leaves is taken at its word",
         "relay/signals.py",
-        "if facts.is_leaving and self._book.note_leaving(upstream.key):",
+        "if facts.is_leaving and self._catalog.mark_leaving(upstream.key):",
         "if False:",
-        (
-            f"{_LEAVING}test_host_that_reaches_no_control_host_takes_an_answer_at_its_word",
-        ),
+        (f"{_LEAVING}test_isolated_host_applies_leaving_in_an_answer",),
     ),
     Mechanism(
         5,
         "what one host's answer says of its upstream is told to all",
-        "coordination/control_desk.py",
-        "            self._book.note_leaving(upstream, sender)\n",
+        "coordination/sync_server.py",
+        "            self._catalog.mark_leaving(upstream, sender)\n",
         "            pass\n",
-        (f"{_LEAVING}test_one_hosts_answer_tells_all_hosts",),
+        (f"{_LEAVING}test_leaving_in_one_answer_reaches_all_hosts",),
     ),
     Mechanism(
         8,
@@ -166,7 +164,7 @@
     Mechanism(
         5,
         "a repeat of an upstream's leaving is told again",
-        "coordination/control_desk.py",
+        "coordination/sync_server.py",
         "now.key != before.key\n        await self._acknowledge(",
         "now.key != before.key\n        is_news and await self._acknowledge(",
         (f"{_ACKNOWLEDGED}[leaves-repeat_at_a_host_cut_off-5-3]",),
@@ -183,19 +181,17 @@
         5,
         "an upstream's end outlives a restart",
         "coordination/hints.py",
-        "return self._book.age(upstream.id) < _GONE_SECONDS",
+        "return self._catalog.age(upstream.id) < _GONE_SECONDS",
         "return False",
-        (f"{_DEPARTURES}test_late_announcement_brings_nothing_back_after_a_restart",),
+        (f"{_DEPARTURES}test_late_announcement_after_restart_is_ignored",),
     ),
     Mechanism(
         5,
         "entry hosts have taken an upstream's leaving in",
         "coordination/departures.py",
-        "            await self._followers.wait(version)\n",
+        "            await self._entry_host_progress.wait(version)\n",
         "            pass\n",
-        (
-            f"{_DEPARTURES}test_leaving_is_acknowledged_once_all_entry_hosts_have_heard_of_it",
-        ),
+        (f"{_DEPARTURES}test_leaving_is_acknowledged_once_entry_hosts_applied_it",),
     ),
     Mechanism(
         5,
@@ -208,7 +204,7 @@
     Mechanism(
         5,
         "an upstream that is gone stays gone",
-        "coordination/upstream_book.py",
+        "coordination/upstream_catalog.py",
         "is_gone=known.is_gone or heard.is_gone,",
         "is_gone=heard.is_gone,",
         (f"{_COORDINATION}test_late_announcement_does_not_bring_an_upstream_back",),
@@ -217,17 +213,19 @@
         6,
         "a leaving entry host tells so at once",
         "programs/entry_host.py",
-        "            self.sync.ask_now()\n",
+        "            self.sync.sync_now()\n",
         "            pass\n",
         (f"{_COORDINATION}test_leaving_entry_host_leaves_the_directory_at_once",),
     ),
     Mechanism(
         6,
         "entry hosts' reports age on their way",
-        "coordination/control_desk.py",
+        "coordination/sync_server.py",
         "EntryReport.from_message(message), age + message.age)",
         "EntryReport.from_message(message), age)",
-        ("tests/relaying/test_entry_book.py::test_reports_age_on_their_way",),
+        (
+            "tests/relaying/test_entry_host_catalog.py::test_transit_time_adds_to_age_of_reports",
+        ),
     ),
     Mechanism(
         7,
@@ -243,10 +241,7 @@
         "programs/control_host.py",
         "        await self._hints.load()\n",
         "",
-        (
-            f"{_COORDINATION}"
-            "test_restarted_control_hosts_tell_the_table_before_an_election",
-        ),
+        (f"{_COORDINATION}test_restarted_control_hosts_serve_table_before_election",),
     ),
     Mechanism(
         7,
@@ -260,17 +255,17 @@
         9,
         "a control host judges silence only while it's in contact",
         "coordination/silence.py",
-        "if was_frozen or not self._contact.is_held():",
+        "if was_frozen or not self._contact.has_quorum():",
         "if was_frozen:",
-        (f"{_SILENCE}test_host_without_contact_judges_nothing_nor_right_after",),
+        (f"{_SILENCE}test_host_without_quorum_marks_nothing_silent",),
     ),
     Mechanism(
         9,
         "a host that was frozen judges no silence at first",
         "coordination/silence.py",
-        "if was_frozen or not self._contact.is_held():",
-        "if not self._contact.is_held():",
-        (f"{_SILENCE}test_host_that_was_frozen_judges_nothing_right_after",),
+        "if was_frozen or not self._contact.has_quorum():",
+        "if not self._contact.has_quorum():",
+        (f"{_SILENCE}test_frozen_host_marks_nothing_silent",),
     ),
     Mechanism(
         9,
@@ -278,7 +273,7 @@
         "coordination/silence.py",
         "set(first).intersection(*others)",
         "set(first).union(*others)",
-        (f"{_SILENT}test_upstream_that_goes_over_to_the_host_cut_off_stays_in_use",),
+        (f"{_SILENT}test_upstream_that_moves_to_isolated_host_stays_in_use",),
     ),
     Mechanism(
         9,
@@ -286,10 +281,7 @@
         "coordination/silence.py",
         "if vote is None or vote.epoch != reply.registry_epoch:",
         "if vote is None or self._now() - vote.answered_at > _SILENCE_SECONDS:",
-        (
-            f"{_SILENCE}"
-            "test_control_host_that_answers_again_has_said_what_it_said_before",
-        ),
+        (f"{_SILENCE}test_vote_counts_again_once_control_host_answers",),
     ),
     Mechanism(
         7,
@@ -305,12 +297,12 @@
         "coordination/silence.py",
         "is_known = heard_by in answering",
         "is_known = True",
-        (f"{_SILENT}test_hosts_that_are_not_asked_by_an_entry_host_are_not_forgotten",),
+        (f"{_SILENT}test_upstreams_of_unpolled_control_hosts_stay_in_use",),
     ),
     Mechanism(
         9,
         "an announcement ends an upstream's silence",
-        "coordination/upstream_book.py",
+        "coordination/upstream_catalog.py",
         "if heard_at > self._silent.get(announcement.key, math.inf):",
         "if False:",
         (f"{_SILENCE}test_announcement_ends_silence_at_once",),
@@ -321,10 +313,7 @@
         "coordination/sync.py",
         "        self.entry_count = max(1, *counts)\n",
         "        self.entry_count = max(1, reply.entry_count)\n",
-        (
-            f"{_PARTIAL}"
-            "test_entry_hosts_share_quotas_by_all_that_any_control_host_hears",
-        ),
+        (f"{_PARTIAL}test_entry_count_is_highest_of_any_control_host",),
     ),
     Mechanism(
         9,
@@ -332,7 +321,7 @@
         "coordination/sync.py",
         "        if reply.is_in_contact or not any(in_contact):\n",
         "        if True:\n",
-        (f"{_PARTIAL}test_callers_are_told_of_all_entry_hosts",),
+        (f"{_PARTIAL}test_directory_holds_all_entry_hosts",),
     ),
     Mechanism(
         8,
@@ -388,7 +377,7 @@
         "coordination/scaling.py",
         "_lacking_for_next_loss(needed_long, carried, are_losses_close)",
         "needed_now - sum(carried)",
-        (f"{_ORDERING}test_two_zones_in_a_row_leave_enough",),
+        (f"{_ORDERING}test_capacity_suffices_after_two_zone_losses",),
     ),
     Mechanism(
         9,
@@ -396,7 +385,7 @@
         "coordination/ordering.py",
         "if is_empty and now - self._started_at < _EMPTY_SECONDS:",
         "if is_empty:",
-        (f"{_ORDERING}test_steady_ones_stay_until_reclaimable_ones_stand_again",),
+        (f"{_ORDERING}test_steady_stay_until_reclaimable_run_again",),
     ),
     Mechanism(
         7,
@@ -449,7 +438,7 @@
     Mechanism(
         2,
         "an upstream's later start replaces what was known of the one before",
-        "coordination/upstream_book.py",
+        "coordination/upstream_catalog.py",
         "if announcement.incarnation > known.announcement.incarnation:",
         "if False:",
         (f"{_RESTARTS}test_later_start_replaces_all_that_was_known",),
@@ -460,15 +449,12 @@
         "programs/entry_host.py",
         "        self._pools.cut(before.key)\n",
         "        pass\n",
-        (
-            f"{_RESTARTS}"
-            "test_request_at_an_upstream_that_starts_again_is_sent_on_at_once",
-        ),
+        (f"{_RESTARTS}test_request_at_restarted_upstream_is_retried_at_once",),
     ),
     Mechanism(
         9,
         "an announcement of another service changes no known upstream",
-        "coordination/upstream_book.py",
+        "coordination/upstream_catalog.py",
         "return has_both and heard.service != known.service",
         "return False",
         (f"{_RESTARTS}test_service_does_not_change_within_a_start",),
@@ -476,12 +462,12 @@
     Mechanism(
         1,
         "entry hosts tell callers where to connect while control hosts are down",
-        "coordination/control_desk.py",
+        "coordination/sync_server.py",
         "            reply.directory.CopyFrom(directory.to_message())\n",
         "            pass\n",
         (
             "tests/relaying/test_directory.py::"
-            "test_entry_hosts_tell_it_while_all_control_hosts_are_down",
+            "test_entry_hosts_serve_it_without_control_hosts",
         ),
     ),
     Mechanism(
@@ -517,10 +503,10 @@
     Mechanism(
         7,
         "control hosts tell each other what changed only",
-        "coordination/entry_book.py",
+        "coordination/entry_host_catalog.py",
         "if life.version > version",
         "if True",
-        ("tests/relaying/test_entry_book.py::test_only_what_changed_is_told",),
+        ("tests/relaying/test_entry_host_catalog.py::test_only_changes_are_published",),
     ),
     Mechanism(
         7,
@@ -529,8 +515,8 @@
         "return not in_contact or name == in_contact[0]",
         "return True",
         (
-            "tests/relaying/test_entry_book.py::"
-            "test_one_control_host_tells_the_others_of_an_entry_host",
+            "tests/relaying/test_entry_host_catalog.py::"
+            "test_one_control_host_publishes_an_entry_host",
         ),
     ),
     Mechanism(
@@ -541,7 +527,7 @@
         "needed_long = needed",
         (
             "tests/relaying/test_scaling.py::"
-            "test_steady_ones_follow_the_mean_when_zones_are_lost",
+            "test_steady_follow_the_mean_when_zones_are_lost",
         ),
     ),
     Mechanism(
@@ -550,6 +536,6 @@
         "coordination/ordering.py",
         "state.is_unused = holder.is_first and not demand.peak",
         "state.is_unused = False",
-        (f"{_ORDERING}test_start_of_a_system_gives_back_at_once_what_nobody_asks_for",),
+        (f"{_ORDERING}test_unused_upstreams_are_released_at_system_start",),
     ),
 )
--- a/src/pepperstep/adapters/http1/connection.py
+++ b/src/pepperstep/adapters/http1/connection.py
@@ -134,7 +134,7 @@
             logging.info("http: Connection closed before it could be reset: %s.", error)
         self._sock.close()
 
-    async def wait_gone(self) -> None:
+    async def wait_disconnected(self) -> None:
         """Return once the caller has closed the connection."""
         await self._disconnected.wait()
 
--- a/src/pepperstep/adapters/http1/server.py
+++ b/src/pepperstep/adapters/http1/server.py
@@ -88,7 +88,7 @@
         try:
             await connection.run()
         except (OSError, CallerGone):
-            # The caller disconnected; `wait_gone` has informed the handler.
+            # The caller disconnected; `wait_disconnected` has informed the handler.
             connection.abort()
         except Exception:
             # A bug in one request's handler must not stop the server.
--- a/src/pepperstep/adapters/http_api/answers.py
+++ b/src/pepperstep/adapters/http_api/answers.py
@@ -33,16 +33,18 @@
         now = self._now()
         if self._last_tokens_at is None:
             seconds = now - self._arrived_at
-            self._recorder.note_first_token(self._workspace, self._priority, seconds)
+            self._recorder.record_first_token(self._workspace, self._priority, seconds)
         else:
             seconds = (now - self._last_tokens_at) / count
-            self._recorder.note_between_tokens(self._workspace, self._priority, seconds)
+            self._recorder.record_token_interval(
+                self._workspace, self._priority, seconds
+            )
         self._last_tokens_at = now
 
     def record_end(self) -> None:
         """Record that the answer is complete."""
         seconds = self._now() - self._arrived_at
-        self._recorder.note_answered(self._workspace, self._priority, seconds)
+        self._recorder.record_answer(self._workspace, self._priority, seconds)
 
 
 class AnswerSender:
--- a/src/pepperstep/adapters/http_api/app.py
+++ b/src/pepperstep/adapters/http_api/app.py
@@ -90,7 +90,7 @@
                 await send_reply(send, reply)
 
     async def _refuse(self, call: Call, failure: Failure) -> None:
-        self._metrics.note_refused(failure.code)
+        self._metrics.record_refusal(failure.code)
         others: tuple[str, ...] = ()
         if failure.code in _REDIRECT_CODES:
             hosts = nearby_entry_hosts(self._node)
--- a/src/pepperstep/adapters/http_api/ports.py
+++ b/src/pepperstep/adapters/http_api/ports.py
@@ -15,7 +15,7 @@
 from pepperstep.observability.views import HostView, StatusView, UpstreamView
 from pepperstep.ports import Timers
 from pepperstep.ports.directory import Directory
-from pepperstep.requests import Part
+from pepperstep.requests import AnswerPart
 
 __all__ = [
     "AcceptedRequest",
@@ -49,7 +49,7 @@
 
     def read(
         self, request_id: str, workspace: str, position: int = 0
-    ) -> AsyncGenerator[Part, None]:
+    ) -> AsyncGenerator[AnswerPart, None]:
         """Yield the answer's parts starting at token `position`, then the outcome."""
 
 
--- a/src/pepperstep/configuration/distribution.py
+++ b/src/pepperstep/configuration/distribution.py
@@ -80,7 +80,7 @@
         self._confirmed_at = -math.inf
         self._started_at = math.inf
         self._is_ready = False
-        self._is_cut_off = False
+        self._is_isolated = False
         self._needs_texts = False
         self._arrived = trio.Event()
         self._in_force = trio.Event()
@@ -133,9 +133,9 @@
         return self._timers.now() - self._confirmed_at
 
     @property
-    def is_cut_off(self) -> bool:
+    def is_isolated(self) -> bool:
         """Whether no confirmation came for long; the revision may be old."""
-        return self._is_cut_off
+        return self._is_isolated
 
     @property
     def texts(self) -> Mapping[str, TextVersion]:
@@ -319,11 +319,11 @@
             self._wake()
 
     def _watch_age(self) -> None:
-        is_cut_off = self._is_ready and self.staleness > _CUT_OFF_SECONDS
-        if is_cut_off != self._is_cut_off:
-            text = "Cut off, keeps" if is_cut_off else "Reachable again, has"
+        is_isolated = self._is_ready and self.staleness > _CUT_OFF_SECONDS
+        if is_isolated != self._is_isolated:
+            text = "Cut off, keeps" if is_isolated else "Reachable again, has"
             logging.warning("configuration: %s revision %d.", text, self.revision)
-        self._is_cut_off = is_cut_off
+        self._is_isolated = is_isolated
 
     # Putting in force.
 
--- a/src/pepperstep/consensus/formation.py
+++ b/src/pepperstep/consensus/formation.py
@@ -115,7 +115,7 @@
                 return found
             if await self._is_agreed(answers):
                 return Identity.from_messages(self._file.pledge)
-            await self._timers.sleep(self._tuning.heartbeat)
+            await self._timers.sleep(self._tuning.heartbeat_interval)
         return ()
 
     def _initial_of_member(self, answers: list[_Answer]) -> tuple[Identity, ...]:
--- a/src/pepperstep/consensus/leadership.py
+++ b/src/pepperstep/consensus/leadership.py
@@ -219,7 +219,7 @@
 
     async def _check_quorum(self) -> None:
         """Step down when no quorum answers, so that proposals don't wait here."""
-        async for now in self._timers.subscribe(self._tuning.heartbeat):
+        async for now in self._timers.subscribe(self._tuning.heartbeat_interval):
             contact = max(self.quorum_contact, self._started_at)
             if now - contact > 2 * self._tuning.election:
                 logging.warning("consensus: No quorum answers in term %d.", self.term)
--- a/src/pepperstep/consensus/node.py
+++ b/src/pepperstep/consensus/node.py
@@ -41,8 +41,8 @@
         rng: random.Random,
         group: str,
         tuning: Tuning,
-        contacts: tuple[str, ...],
-        size: int,
+        seed_hosts: tuple[str, ...],
+        target_voter_count: int,
     ):
         self._name = name
         self._group = group
@@ -64,10 +64,10 @@
         self._replication = Replication(
             group, self._replica, self._follower, peers, timers, tuning
         )
-        self._contacts = contacts
-        self._repair = Repair(self._replica, timers, tuning, size)
+        self._contacts = seed_hosts
+        self._repair = Repair(self._replica, timers, tuning, target_voter_count)
         self._forwarder = Forwarder(
-            group, contacts or voters, self._call, timers, rng, tuning
+            group, seed_hosts or voters, self._call, timers, rng, tuning
         )
         self._register_handlers()
 
@@ -83,13 +83,13 @@
         rng: random.Random,
         group: str = "control",
         tuning: Tuning | None = None,
-        contacts: tuple[str, ...] = (),
-        size: int = 0,
+        seed_hosts: tuple[str, ...] = (),
+        target_voter_count: int = 0,
     ) -> "Consensus":
         """Return the log of the control host `name`, which `run` starts.
 
         `voters` names the first voters, the same on all of these. Any other
-        host joins by way of its `contacts`. The group grows to `size` voters,
+        host joins by way of its `seed_hosts`. The group grows to `target_voter_count` voters,
         as many as the first ones by default. `rng` must be seeded differently
         on each host and at each start.
         """
@@ -102,8 +102,8 @@
             rng,
             group,
             tuning or Tuning(),
-            contacts,
-            size or len(voters),
+            seed_hosts,
+            target_voter_count or len(voters),
         )
 
     @property
--- a/src/pepperstep/consensus/repair.py
+++ b/src/pepperstep/consensus/repair.py
@@ -39,21 +39,23 @@
 
 
 class Repair:
-    """Watches the followers of one leadership; `size` is the number of voters."""
+    """Watches the followers of one leadership; `target_voter_count` is the number of voters."""
 
-    def __init__(self, replica: Replica, timers: Timers, tuning: Tuning, size: int):
+    def __init__(
+        self, replica: Replica, timers: Timers, tuning: Tuning, target_voter_count: int
+    ):
         self._replica = replica
         self._timers = timers
         self._tuning = tuning
-        self._size = size
+        self._size = target_voter_count
         # With fewer voters, an entry would stand on too few disks.
-        self._min_voters = size // 2 + 1
+        self._min_voters = target_voter_count // 2 + 1
         self._rounds: dict[Identity, _Round] = {}
 
     async def run(self, leadership: Leadership) -> None:
         """Repair until cancelled."""
         self._rounds.clear()
-        async for _ in self._timers.subscribe(self._tuning.heartbeat):
+        async for _ in self._timers.subscribe(self._tuning.heartbeat_interval):
             if not self.is_settled(leadership):
                 continue
             wanted = self._next_membership(leadership)
--- a/src/pepperstep/consensus/replication.py
+++ b/src/pepperstep/consensus/replication.py
@@ -64,7 +64,7 @@
                 await progress.wake.wait()
 
     async def _wait_heartbeat(self, progress: Progress) -> None:
-        due = progress.sent_at + self._tuning.heartbeat
+        due = progress.sent_at + self._tuning.heartbeat_interval
         await self._timers.sleep(due - self._timers.now())
 
     def _pause(self, progress: Progress) -> float:
@@ -72,7 +72,7 @@
         has_commits = self._replica.commit_index > progress.commit_index
         if has_commits and progress.match_index > progress.commit_index:
             return self._tuning.commit_delay
-        return self._tuning.heartbeat
+        return self._tuning.heartbeat_interval
 
     async def _send(self, leadership: Leadership, progress: Progress) -> None:
         if progress.next_index <= self._replica.log.base_index:
--- a/src/pepperstep/consensus/tuning.py
+++ b/src/pepperstep/consensus/tuning.py
@@ -11,7 +11,7 @@
 class Tuning:
     """Times in seconds, sizes in bytes; all hosts of a group need the same times."""
 
-    heartbeat: float = 0.25
+    heartbeat_interval: float = 0.25
     # Shortest election timeout; the longest is twice as much.
     election: float = 1.0
     # Share by which a host's monotonic clock may run fast or slow.
--- a/src/pepperstep/coordination/__init__.py
+++ b/src/pepperstep/coordination/__init__.py
@@ -1,11 +1,10 @@
 """What hosts know together: route tables, upstreams, entry hosts, usage."""
 
-from pepperstep.coordination.control_desk import ControlDesk
+from pepperstep.coordination.autoscaler import Autoscaler
 from pepperstep.coordination.directory import Directory
-from pepperstep.coordination.duty import Duty
-from pepperstep.coordination.entry_book import EntryBook
+from pepperstep.coordination.entry_host_catalog import EntryHostCatalog
 from pepperstep.coordination.host_share import HostShare
-from pepperstep.coordination.ordering import Ordering
+from pepperstep.coordination.leader_lease import LeaderLease
 from pepperstep.coordination.records import (
     Announcement,
     EntryReport,
@@ -13,34 +12,35 @@
     StatedLimit,
     UpstreamKey,
 )
-from pepperstep.coordination.sync import Sync, SyncSettings
+from pepperstep.coordination.sync_client import SyncClient, SyncSettings
+from pepperstep.coordination.sync_server import SyncServer
 from pepperstep.coordination.tables import (
     TABLE_MACHINE,
     TableMachine,
     TableStore,
     propose_table,
 )
-from pepperstep.coordination.upstream_book import UpstreamBook
+from pepperstep.coordination.upstream_catalog import UpstreamCatalog
 from pepperstep.coordination.usage import USAGE_MACHINE, UsageMachine, UsageReporter
 
 __all__ = [
     "TABLE_MACHINE",
     "USAGE_MACHINE",
     "Announcement",
-    "ControlDesk",
+    "SyncServer",
     "Directory",
-    "Duty",
-    "EntryBook",
+    "LeaderLease",
+    "EntryHostCatalog",
     "EntryReport",
     "HostShare",
-    "Ordering",
+    "Autoscaler",
     "ServiceWork",
     "StatedLimit",
-    "Sync",
+    "SyncClient",
     "SyncSettings",
     "TableMachine",
     "TableStore",
-    "UpstreamBook",
+    "UpstreamCatalog",
     "UpstreamKey",
     "UsageMachine",
     "UsageReporter",
--- a/src/pepperstep/coordination/ordering.py
+++ b/src/pepperstep/coordination/autoscaler.py
@@ -5,25 +5,25 @@
 
 from absl import logging
 
-from pepperstep.coordination.duty import Duty, Holder
-from pepperstep.coordination.entry_book import EntryBook
+from pepperstep.coordination.entry_host_catalog import EntryHostCatalog
+from pepperstep.coordination.leader_lease import LeaderLease, LeaseHolder
 from pepperstep.coordination.order_state import OrderState
 from pepperstep.coordination.records import Announcement
 from pepperstep.coordination.scaling import (
     Demand,
     ZoneCounts,
     plan_counts,
-    upstreams_for,
+    required_upstreams,
 )
 from pepperstep.coordination.tables import TableStore
-from pepperstep.coordination.upstream_book import UpstreamBook
+from pepperstep.coordination.upstream_catalog import UpstreamCatalog
 from pepperstep.entities.routes import ScalingBounds, Service
 from pepperstep.errors import Code, Failure
 from pepperstep.observability.decisions import UpstreamsPlanned, ZonePlan
 from pepperstep.ports import Timers
 from pepperstep.ports.orders import UpstreamOrder, UpstreamOrders
 
-__all__ = ["Ordering"]
+__all__ = ["Autoscaler"]
 
 _POLL_SECONDS = 0.5
 # The demand is the highest mean of so long, in seconds: upstreams take 4 s to
@@ -37,25 +37,25 @@
 _EMPTY_SECONDS = 5.0
 
 
-class Ordering:
+class Autoscaler:
     """Plans and orders while this host holds the duty."""
 
     def __init__(
         self,
-        duty: Duty,
+        leader_lease: LeaderLease,
         orders: UpstreamOrders,
         tables: TableStore,
-        entries: EntryBook,
-        book: UpstreamBook,
+        entries: EntryHostCatalog,
+        catalog: UpstreamCatalog,
         zones: Callable[[], tuple[str, ...]],
         timers: Timers,
         is_trial: Callable[[Announcement], bool] = lambda upstream: False,
     ):
-        self._duty = duty
+        self._duty = leader_lease
         self._orders = orders
         self._tables = tables
         self._entries = entries
-        self._book = book
+        self._catalog = catalog
         self._zones = zones
         self._timers = timers
         self._is_trial = is_trial
@@ -81,7 +81,7 @@
                 if holder is not None:
                     await self._keep(service, service.scaling, demand, holder, now)
 
-    def _begin(self, holder: Holder) -> None:
+    def _begin(self, holder: LeaseHolder) -> None:
         """Start anew: what an earlier holder has ordered isn't known here."""
         self._fence = holder.fence
         self._states.clear()
@@ -92,7 +92,7 @@
         service: Service,
         bounds: ScalingBounds,
         demand: Demand,
-        holder: Holder,
+        holder: LeaseHolder,
         now: float,
     ) -> None:
         if now - self._started_at < _LEARN_SECONDS:
@@ -134,7 +134,7 @@
         )
 
     def _note_demand(self, service: str, now: float) -> Demand:
-        present = upstreams_for(self._entries.work_of(service))
+        present = required_upstreams(self._entries.work_of(service))
         demands = self._demands.setdefault(service, deque())
         demands.append((now, present))
         while demands[0][0] < now - _DEMAND_SECONDS:
@@ -147,7 +147,7 @@
         present = self._zones()
         zones = tuple(bounds.zone_prices) or present
         counts = {(zone, kind): 0 for zone in zones for kind in (True, False)}
-        for each in self._book.working(service):
+        for each in self._catalog.working(service):
             if self._is_trial(each):
                 # It comes beside those that carry the work.
                 continue
@@ -191,7 +191,7 @@
         service: str,
         plan: dict[str, ZoneCounts],
         standing: dict[str, ZoneCounts],
-        holder: Holder,
+        holder: LeaseHolder,
         is_reclaimable: bool,
     ) -> None:
         """Order one kind of upstreams in all zones where that is due."""
@@ -204,7 +204,7 @@
                 await self._send(order, holder, state)
 
     async def _send(
-        self, order: UpstreamOrder, holder: Holder, state: OrderState
+        self, order: UpstreamOrder, holder: LeaseHolder, state: OrderState
     ) -> None:
         state.note_sent(order)
         try:
--- a/src/pepperstep/coordination/departures.py
+++ b/src/pepperstep/coordination/departures.py
@@ -12,9 +12,9 @@
 import trio
 from absl import logging
 
-from pepperstep.coordination.followers import Followers
+from pepperstep.coordination.entry_host_progress import EntryHostProgress
 from pepperstep.coordination.records import Announcement
-from pepperstep.coordination.upstream_book import UpstreamBook
+from pepperstep.coordination.upstream_catalog import UpstreamCatalog
 from pepperstep.errors import Code, Failure
 from pepperstep.ports import PeerNetwork, Timers
 from pepperstep.proto import coordination_pb2 as pb
@@ -37,8 +37,8 @@
         name: str,
         peers: PeerNetwork,
         timers: Timers,
-        book: UpstreamBook,
-        followers: Followers,
+        catalog: UpstreamCatalog,
+        entry_host_progress: EntryHostProgress,
         control_hosts: Callable[[], list[str]],
         voters: Callable[[], list[str]],
         store: Callable[[], Awaitable[None]],
@@ -46,8 +46,8 @@
         self._name = name
         self._peers = peers
         self._timers = timers
-        self._book = book
-        self._followers = followers
+        self._catalog = catalog
+        self._entry_host_progress = entry_host_progress
         self._control_hosts = control_hosts
         self._voters = voters
         self._store = store
@@ -109,9 +109,9 @@
         if announcement.is_gone and not announcement.service:
             # The sender has heard of its end only, perhaps not of which start.
             incarnation = announcement.incarnation or None
-            self._book.note_gone(announcement.id, incarnation, sender)
+            self._catalog.mark_gone(announcement.id, incarnation, sender)
         else:
-            self._book.note(announcement, told_by=sender, heard_by=sender)
+            self._catalog.record(announcement, told_by=sender, heard_by=sender)
         await self._take_in()
         return pb.UpstreamNoticeReply()
 
@@ -121,15 +121,15 @@
         Raise `Failure` with `NOT_READY` if the disk fails, or an entry host doesn't
         take it in.
         """
-        version = self._book.version
+        version = self._catalog.version
         is_known = False
         try:
             await self._store()
         except OSError as error:
             raise Failure(Code.NOT_READY, f"The disk fails: {error}") from error
         with self._timers.move_on_after(_SPREAD_SECONDS):
-            await self._followers.wait(version)
+            await self._entry_host_progress.wait(version)
             is_known = True
         if not is_known:
-            behind = ", ".join(self._followers.behind(version))
+            behind = ", ".join(self._entry_host_progress.behind(version))
             raise Failure(Code.NOT_READY, f"Entry hosts haven't taken it in: {behind}")
--- a/src/pepperstep/coordination/entry_book.py
+++ b/src/pepperstep/coordination/entry_host_catalog.py
@@ -10,7 +10,7 @@
 from pepperstep.observability.decisions import EntryContact
 from pepperstep.proto import coordination_pb2 as pb
 
-__all__ = ["EntryBook"]
+__all__ = ["EntryHostCatalog"]
 
 # Entry hosts ask twice a second; one that missed two rounds is told of to callers
 # no longer. In seconds. Callers keep an address for another 1.5 s or more, and
@@ -99,7 +99,7 @@
     directories: dict[str, Directory] = field(default_factory=dict)
 
 
-class EntryBook:
+class EntryHostCatalog:
     """Lives of entry hosts, with what each has counted.
 
     `version` grows with each report of an entry host that has this host as its source.
@@ -143,11 +143,11 @@
         earliest = self._started_at - _RESTART_SLACK_SECONDS
         return all(life.started_at >= earliest for life in self._newest())
 
-    def note(self, report: EntryReport, age: float = 0.0) -> None:
+    def record_relayed(self, report: EntryReport, age: float = 0.0) -> None:
         """Take in a report that another control host got `age` seconds ago."""
         self._note(report, age)
 
-    def note_own(self, report: EntryReport, is_source: bool) -> None:
+    def record(self, report: EntryReport, is_source: bool) -> None:
         """Take in a report that has just come from the entry host itself.
 
         `is_source` says whether this host tells the other control hosts.
@@ -177,7 +177,7 @@
             look.directories[known_zone] = directory
         return directory
 
-    def note_contacts(self) -> None:
+    def log_contact_changes(self) -> None:
         """Log the entry hosts that were lost or found since the last call."""
         limit = self._now() - _SILENCE_SECONDS
         newest = {life.report.host: life for life in self._newest()}
@@ -226,7 +226,7 @@
             if life.version > version
         ]
 
-    def admitted_besides(self, host: str) -> dict[str, int]:
+    def admitted_elsewhere(self, host: str) -> dict[str, int]:
         """Return the cost that all but one entry host have admitted, by workspace."""
         totals = dict(self._admitted)
         for life in self._lives.get(host, ()):
--- a/src/pepperstep/coordination/followers.py
+++ b/src/pepperstep/coordination/entry_host_progress.py
@@ -4,7 +4,7 @@
 
 from pepperstep.ports import Timers
 
-__all__ = ["Followers"]
+__all__ = ["EntryHostProgress"]
 
 # Time without a question after which an entry host isn't waited for, in seconds. One
 # that this host doesn't reach asks another one by then.
@@ -13,7 +13,7 @@
 _LOOK_SECONDS = 0.1
 
 
-class Followers:
+class EntryHostProgress:
     """The entry hosts by name, with the version of the book that each has."""
 
     def __init__(self, timers: Timers):
@@ -22,7 +22,7 @@
         self._known: dict[str, tuple[int, float]] = {}
         self._changed = trio.Event()
 
-    def note(self, host: str, version: int) -> None:
+    def record(self, host: str, version: int) -> None:
         """Take in that a host asks for what is newer than a version, 0 for all."""
         self._known[host] = version, self._timers.now()
         self._changed.set()
--- a/src/pepperstep/coordination/hints.py
+++ b/src/pepperstep/coordination/hints.py
@@ -14,11 +14,11 @@
 from absl import logging
 from google.protobuf.message import DecodeError
 
-from pepperstep.coordination.entry_book import EntryBook
+from pepperstep.coordination.entry_host_catalog import EntryHostCatalog
 from pepperstep.coordination.records import Announcement
 from pepperstep.coordination.table_updates import Document, compress, decompress
 from pepperstep.coordination.tables import TableStore
-from pepperstep.coordination.upstream_book import UpstreamBook
+from pepperstep.coordination.upstream_catalog import UpstreamCatalog
 from pepperstep.errors import Failure
 from pepperstep.ports import Storage, Timers
 from pepperstep.proto import coordination_pb2 as pb
@@ -55,14 +55,14 @@
         self,
         storage: Storage,
         tables: TableStore,
-        book: UpstreamBook,
-        entries: EntryBook,
+        catalog: UpstreamCatalog,
+        entries: EntryHostCatalog,
         timers: Timers,
         rollouts: RolloutHints,
     ):
         self._storage = storage
         self._tables = tables
-        self._book = book
+        self._catalog = catalog
         self._entries = entries
         self._timers = timers
         self._rollouts = rollouts
@@ -80,13 +80,13 @@
         try:
             hints = pb.HintsFile.FromString(data)
             if hints.table_version:
-                self._tables.take(_document_of(hints))
+                self._tables.install(_document_of(hints))
         except (DecodeError, Failure) as error:
             logging.warning("hints: The file can't be used: %s", error)
             return
         for message in hints.upstreams:
             announcement = Announcement.from_message(message)
-            self._book.note(announcement, told_by=_FILE)
+            self._catalog.record(announcement, told_by=_FILE)
         self._entries.expect(hints.entry_count)
         self._rollouts.expect(hints.rollouts)
         logging.info(
@@ -108,7 +108,7 @@
         async with self._lock:
             state = (
                 self._tables.current.version,
-                self._book.version,
+                self._catalog.version,
                 self._entries.count,
                 self._rollouts.index,
             )
@@ -121,7 +121,7 @@
             table_version=self._tables.current.version,
             table=self._compressed(),
             upstreams=[
-                each.to_message() for each in self._book.all() if self._is_kept(each)
+                each.to_message() for each in self._catalog.all() if self._is_kept(each)
             ],
             entry_count=self._entries.count,
             rollouts=self._rollouts.messages(),
@@ -130,8 +130,8 @@
 
     def _is_kept(self, upstream: Announcement) -> bool:
         if upstream.is_gone:
-            return self._book.age(upstream.id) < _GONE_SECONDS
-        return upstream.key not in self._book.silent
+            return self._catalog.age(upstream.id) < _GONE_SECONDS
+        return upstream.key not in self._catalog.silent
 
     def _compressed(self) -> bytes:
         if self._document is not self._tables.document:
--- a/src/pepperstep/coordination/host_share.py
+++ b/src/pepperstep/coordination/host_share.py
@@ -51,7 +51,7 @@
             return 0.0
         return 1 / self.hosts
 
-    def note_told(self, hosts: int) -> None:
+    def record_host_count(self, hosts: int) -> None:
         """Take in how many hosts a control host counts, this one among them.
 
         Only one that's in contact with most others counts all.
--- a/src/pepperstep/coordination/duty.py
+++ b/src/pepperstep/coordination/leader_lease.py
@@ -12,7 +12,7 @@
 from pepperstep.observability.decisions import DutyTaken
 from pepperstep.ports import Agreement, Timers
 
-__all__ = ["Duty", "Holder"]
+__all__ = ["LeaderLease", "LeaseHolder"]
 
 _FIRST_TERM = 1
 # Part of the lease that a new leader waits. A leader that is cut off takes itself
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Holder:
+class LeaseHolder:
     """Who acts, and by which fencing token."""
 
     name: str
@@ -35,7 +35,7 @@
         return self.fence == _FIRST_TERM
 
 
-class Duty:
+class LeaderLease:
     """The right as one control host has it; `lease` is in seconds."""
 
     def __init__(self, name: str, agreement: Agreement, timers: Timers, lease: float):
@@ -48,7 +48,7 @@
         # Term that was logged.
         self._told = 0
 
-    def holder(self) -> Holder | None:
+    def holder(self) -> LeaseHolder | None:
         """Return this host if it may act now, None otherwise."""
         if not self._agreement.is_leader:
             return None
@@ -57,7 +57,7 @@
         if term != self._term:
             self._term = term
             self._since = now
-        holder = Holder(self._name, term)
+        holder = LeaseHolder(self._name, term)
         if not holder.is_first and now - self._since < _WAIT_SHARE * self._lease:
             return None
         if self._told != term:
--- a/src/pepperstep/coordination/contact.py
+++ b/src/pepperstep/coordination/quorum_monitor.py
@@ -4,14 +4,14 @@
 
 from pepperstep.errors import Code, Failure
 
-__all__ = ["Contact"]
+__all__ = ["QuorumMonitor"]
 
 # Time after a start for which what needs the other control hosts waits for them, in
 # seconds: after a loss of power they come back within two seconds of each other.
 _FORMING_SECONDS = 5.0
 
 
-class Contact:
+class QuorumMonitor:
     """A control host's contact with the voters of the log.
 
     Learners don't count: one that is about to join may never answer.
@@ -30,12 +30,12 @@
         self._now = now
         self._started_at = now()
 
-    def is_held(self) -> bool:
+    def has_quorum(self) -> bool:
         """Whether most voters have answered lately, this host counted if it's one."""
         voters = set(self._voters())
-        return 2 * len(self.answering() & voters) > len(voters)
+        return 2 * len(self.reachable() & voters) > len(voters)
 
-    def answering(self) -> set[str]:
+    def reachable(self) -> set[str]:
         """Return the control hosts that have answered lately, this one included."""
         return {self._name, *self._reached()}
 
@@ -46,6 +46,6 @@
         come cost operators 0.9 s a try, and two tries in three while one of three
         control hosts was cut off. Hosts that have just started may come together yet.
         """
-        if self._now() - self._started_at < _FORMING_SECONDS or self.is_held():
+        if self._now() - self._started_at < _FORMING_SECONDS or self.has_quorum():
             return
         raise Failure(Code.NO_QUORUM, "Most control hosts are out of reach.")
--- a/src/pepperstep/coordination/scaling.py
+++ b/src/pepperstep/coordination/scaling.py
@@ -13,7 +13,7 @@
 from pepperstep.coordination.records import ServiceWork
 from pepperstep.entities.routes import ScalingBounds
 
-__all__ = ["Demand", "ZoneCounts", "plan_counts", "upstreams_for"]
+__all__ = ["Demand", "ZoneCounts", "plan_counts", "required_upstreams"]
 
 # Part of its time that an upstream reads prompts without making callers wait, by the
 # speed that entry hosts see.
@@ -56,7 +56,7 @@
         return self.reclaimable if is_reclaimable else self.steady
 
 
-def upstreams_for(work: ServiceWork) -> float:
+def required_upstreams(work: ServiceWork) -> float:
     """Return how many upstreams a service's work needs."""
     return max(work.reading / _MOST_READING, work.in_flight / _REQUESTS_EACH)
 
--- a/src/pepperstep/coordination/silence.py
+++ b/src/pepperstep/coordination/silence.py
@@ -8,12 +8,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from pepperstep.coordination.contact import Contact
+from pepperstep.coordination.quorum_monitor import QuorumMonitor
 from pepperstep.coordination.records import UpstreamKey
-from pepperstep.coordination.upstream_book import UpstreamBook
+from pepperstep.coordination.upstream_catalog import UpstreamCatalog
 from pepperstep.proto import coordination_pb2 as pb
 
-__all__ = ["SilenceJudge", "SilenceVotes"]
+__all__ = ["SilenceDetector", "SilenceVotes"]
 
 # Upstreams announce themselves every 1.2 s. One that is silent for so long has
 # ended, or is cut off from all control hosts; requests that reach it still are
@@ -30,7 +30,7 @@
 _VOTES = "control hosts"
 
 
-class SilenceJudge:
+class SilenceDetector:
     """A control host's own judgement.
 
     A host that was cut off from most others, or was frozen, has missed what they
@@ -42,34 +42,34 @@
 
     def __init__(
         self,
-        book: UpstreamBook,
+        catalog: UpstreamCatalog,
         now: Callable[[], float],
-        contact: Contact,
+        quorum_monitor: QuorumMonitor,
     ):
-        self._book = book
+        self._catalog = catalog
         self._now = now
-        self._contact = contact
+        self._contact = quorum_monitor
         # Monotonic time since which this host hears most others.
         self._in_contact_since = now()
         self._looked_at = now()
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Let the upstreams count as silent that have been so for too long."""
         now = self._now()
         was_frozen = now - self._looked_at > _FROZEN_SECONDS
         self._looked_at = now
-        if was_frozen or not self._contact.is_held():
+        if was_frozen or not self._contact.has_quorum():
             self._in_contact_since = now
             return
         if now - self._in_contact_since < _SILENCE_SECONDS:
             return
-        answering = self._contact.answering()
+        reachable = self._contact.reachable()
 
         def limit(heard_by: str) -> float:
-            is_known = heard_by in answering
+            is_known = heard_by in reachable
             return now - (_SILENCE_SECONDS if is_known else _MISSED_SECONDS)
 
-        self._book.set_silent(self._book.unheard_since(limit), _JUDGE)
+        self._catalog.set_silent(self._catalog.unheard_since(limit), _JUDGE)
 
 
 @dataclass(slots=True)
@@ -90,12 +90,12 @@
     announce themselves there.
     """
 
-    def __init__(self, book: UpstreamBook, now: Callable[[], float]):
-        self._book = book
+    def __init__(self, catalog: UpstreamCatalog, now: Callable[[], float]):
+        self._catalog = catalog
         self._now = now
         self._votes: dict[str, _Vote] = {}
 
-    def note_answer(self, control_host: str, reply: pb.SyncReply) -> None:
+    def record_reply(self, control_host: str, reply: pb.SyncReply) -> None:
         """Take in what a control host tells."""
         vote = self._votes.get(control_host)
         if vote is None or vote.epoch != reply.registry_epoch:
@@ -123,4 +123,4 @@
             for vote in self._votes.values()
             if vote.answered_at >= limit
         )
-        self._book.set_silent(set(first).intersection(*others), _VOTES)
+        self._catalog.set_silent(set(first).intersection(*others), _VOTES)
--- a/src/pepperstep/coordination/sync.py
+++ b/src/pepperstep/coordination/sync_client.py
@@ -17,12 +17,12 @@
 from pepperstep.coordination.records import Announcement, EntryReport, StatedLimit
 from pepperstep.coordination.table_fetcher import FetchSettings, TableFetcher
 from pepperstep.coordination.tables import TableStore
-from pepperstep.coordination.upstream_book import UpstreamBook
+from pepperstep.coordination.upstream_catalog import UpstreamCatalog
 from pepperstep.errors import Failure
 from pepperstep.ports import PeerNetwork, Timers
 from pepperstep.proto import coordination_pb2 as pb
 
-__all__ = ["Sync", "SyncSettings"]
+__all__ = ["SyncClient", "SyncSettings"]
 
 ReplySubscriber = Callable[[str, pb.SyncReply, float], None]
 
@@ -89,7 +89,7 @@
     is_in_contact: bool = False
 
 
-class Sync:
+class SyncClient:
     """Rounds of one host; `report` gives an entry host's state, None on others."""
 
     def __init__(
@@ -99,7 +99,7 @@
         peers: PeerNetwork,
         timers: Timers,
         tables: TableStore,
-        book: UpstreamBook,
+        catalog: UpstreamCatalog,
         report: Callable[[], EntryReport] | None = None,
         settings: SyncSettings | None = None,
     ):
@@ -108,7 +108,7 @@
         self._peers = peers
         self._timers = timers
         self._tables = tables
-        self._book = book
+        self._catalog = catalog
         self._report = report
         self._settings = settings or SyncSettings()
         delay = 0.0 if report is not None else self._settings.log_delay
@@ -127,10 +127,10 @@
         # Called with workspace and total, when the total has grown.
         self.on_admitted: Callable[[str, int], None] = lambda workspace, total: None
         # Whether all hosts have started with this one, and what is called then.
-        self.knows_restart = False
+        self.has_seen_restart = False
         self.on_restart: Callable[[], None] = lambda: None
         # Tells whether counts have to be new.
-        self.is_hurried: Callable[[], bool] = lambda: False
+        self.needs_fresh_counts: Callable[[], bool] = lambda: False
         # Gives the newest change of a roll-out that this host has, as its log position.
         self.rollouts_index: Callable[[], int] = lambda: 0
         # Called with a control host, its answer, and the answer's age in seconds.
@@ -153,7 +153,7 @@
         return self._timers.now() - max(latest, default=float("-inf"))
 
     @property
-    def true_time(self) -> float:
+    def median_time(self) -> float:
         """The Unix time by the middle of what hosts say.
 
         Others' clocks are kept against this host's monotonic time. So a jump of its
@@ -179,7 +179,7 @@
             task_status.started()
             await trio.sleep_forever()
 
-    def ask_now(self) -> None:
+    def sync_now(self) -> None:
         """Begin a round at once, with this host's state as it is now."""
         self._wake.set()
         self._wake = trio.Event()
@@ -266,7 +266,11 @@
         return xxhash.xxh64_intdigest(f"{self._name}/{name}".encode())
 
     async def _ask(self, name: str, source: _Source) -> bool:
-        wait = self._settings.short_wait if self.is_hurried() else self._settings.wait
+        wait = (
+            self._settings.short_wait
+            if self.needs_fresh_counts()
+            else self._settings.wait
+        )
         request = pb.SyncRequest(
             table_version=max(
                 self._tables.current.version, self._fetcher.told_by(name)
@@ -311,18 +315,18 @@
         self._take_entry_count(reply, source)
         self._fetcher.note_told(name, reply.table_version)
         self._take_directory(reply, source)
-        if reply.has_all_restarted and not self.knows_restart:
-            self.knows_restart = True
+        if reply.has_all_restarted and not self.has_seen_restart:
+            self.has_seen_restart = True
             logging.info("sync: All hosts have started anew.")
             self.on_restart()
         for message in reply.upstreams:
             announcement = Announcement.from_message(message)
             heard_by = message.heard_by or name
-            self._book.note(announcement, message.age + age, name, heard_by)
+            self._catalog.record(announcement, message.age + age, name, heard_by)
             if message.HasField("limit"):
                 told_at = self._timers.now() - age
                 limit = StatedLimit.from_message(message.limit, told_at)
-                self._book.note_limit(announcement.key, limit, name)
+                self._catalog.record_limit(announcement.key, limit, name)
         source.version = reply.registry_version
         source.entries_version = reply.entries_version
         is_new_life = source.epoch != reply.registry_epoch
--- a/src/pepperstep/coordination/control_desk.py
+++ b/src/pepperstep/coordination/sync_server.py
@@ -7,8 +7,8 @@
 from absl import logging
 
 from pepperstep.coordination.departures import Departures
-from pepperstep.coordination.entry_book import EntryBook
-from pepperstep.coordination.followers import Followers
+from pepperstep.coordination.entry_host_catalog import EntryHostCatalog
+from pepperstep.coordination.entry_host_progress import EntryHostProgress
 from pepperstep.coordination.records import (
     Announcement,
     EntryReport,
@@ -17,7 +17,7 @@
 )
 from pepperstep.coordination.table_history import TableHistory
 from pepperstep.coordination.tables import TableStore
-from pepperstep.coordination.upstream_book import UpstreamBook
+from pepperstep.coordination.upstream_catalog import UpstreamCatalog
 from pepperstep.entities.routes import RouteTable
 from pepperstep.errors import Code, Failure
 from pepperstep.observability.decisions import LeavingAcknowledged
@@ -25,7 +25,7 @@
 from pepperstep.proto import coordination_pb2 as pb
 from pepperstep.proto.rollouts_pb2 import RolloutRecord
 
-__all__ = ["ControlDesk"]
+__all__ = ["SyncServer"]
 
 # Longest time that a question waits for something new, in seconds.
 _MAX_WAIT_SECONDS = 5.0
@@ -55,7 +55,7 @@
         """Call `subscriber` at each change."""
 
 
-class ControlDesk:
+class SyncServer:
     """Answers hosts' questions and takes in their reports."""
 
     def __init__(
@@ -64,12 +64,12 @@
         peers: PeerNetwork,
         timers: Timers,
         tables: TableStore,
-        book: UpstreamBook,
-        entries: EntryBook,
+        catalog: UpstreamCatalog,
+        entries: EntryHostCatalog,
         control_hosts: Callable[[], list[str]],
         voters: Callable[[], list[str]],
         departures: Departures,
-        followers: Followers,
+        entry_host_progress: EntryHostProgress,
         epoch: int,
         is_in_contact: Callable[[], bool] = lambda: True,
         rollouts: RolloutSource | None = None,
@@ -78,17 +78,17 @@
         self._peers = peers
         self._timers = timers
         self._tables = tables
-        self._book = book
+        self._catalog = catalog
         self._control_hosts = control_hosts
         self._voters = voters
         self._departures = departures
-        self._followers = followers
+        self._entry_host_progress = entry_host_progress
         self._epoch = epoch
         self._is_in_contact = is_in_contact
         self._entries = entries
         self._started_at = timers.now()
         self._news = trio.Event()
-        book.subscribe(self._note_news)
+        catalog.subscribe(self._note_news)
         tables.subscribe(self._note_news)
         self._rollouts = rollouts
         if rollouts is not None:
@@ -101,7 +101,7 @@
         peers.handle(pb.TableRequest, self._on_table)
         peers.handle(pb.AnswerNotice, self._on_answer_notice)
 
-    async def note_announcement(self, announcement: Announcement) -> None:
+    async def receive_announcement(self, announcement: Announcement) -> None:
         """Take in what an upstream says of itself.
 
         That it leaves has to bind all entry hosts once this returns, whoever restarts.
@@ -110,42 +110,42 @@
         """
         self._check(announcement)
         arrived_at = self._timers.now()
-        before = self._book.get(announcement.id)
-        self._book.note(announcement)
-        now = self._book.get(announcement.id)
+        before = self._catalog.get(announcement.id)
+        self._catalog.note(announcement)
+        now = self._catalog.get(announcement.id)
         if announcement.takes_work or now.takes_work:
             return
         is_news = before is None or before.takes_work or now.key != before.key
         await self._acknowledge(now, is_news, arrived_at)
 
-    async def note_gone(self, upstream: str, incarnation: int | None = None) -> None:
-        """Take in that an upstream ends; raise as `note_announcement` does.
+    async def mark_gone(self, upstream: str, incarnation: int | None = None) -> None:
+        """Take in that an upstream ends; raise as `receive_announcement` does.
 
         Without an incarnation, it's the latest that is known.
         """
         arrived_at = self._timers.now()
-        before = self._book.get(upstream)
+        before = self._catalog.get(upstream)
         is_news = before is None or not before.is_gone
-        self._book.note_gone(upstream, incarnation)
-        now = self._book.get(upstream)
+        self._catalog.mark_gone(upstream, incarnation)
+        now = self._catalog.get(upstream)
         if not now.takes_work:
             await self._acknowledge(now, is_news, arrived_at)
 
-    def absorb(self, control_host: str, reply: pb.SyncReply, age: float) -> None:
+    def merge_reply(self, control_host: str, reply: pb.SyncReply, age: float) -> None:
         """Take in another control host's answer that is `age` seconds old."""
         for message in reply.entries:
             self._entries.note(EntryReport.from_message(message), age + message.age)
         for message in reply.upstreams:
             if message.is_silent:
                 key = (message.id, message.incarnation)
-                self._book.note_silent(key, age + message.age, control_host)
+                self._catalog.mark_silent(key, age + message.age, control_host)
 
     def _check(self, announcement: Announcement) -> None:
         """Raise `Failure` for an announcement that another writer must have made."""
         now = self._timers.wall()
         if announcement.incarnation / 1000 > now + _MAX_CLOCK_SKEW_SECONDS:
             raise Failure(Code.INVALID_REQUEST, "The upstream starts in the future.")
-        if not self._tables.is_known or self._book.get(announcement.id) is not None:
+        if not self._tables.is_known or self._catalog.get(announcement.id) is not None:
             return
         if announcement.service not in self._tables.current.services:
             text = f"There is no service {announcement.service!r}."
@@ -173,15 +173,17 @@
         upstream = (message.upstream, message.incarnation)
         if message.HasField("limit"):
             limit = StatedLimit.from_message(message.limit, self._timers.now())
-            self._book.note_limit(upstream, limit, sender)
+            self._catalog.record_limit(upstream, limit, sender)
         if message.is_leaving:
-            self._book.note_leaving(upstream, sender)
+            self._catalog.mark_leaving(upstream, sender)
         return pb.AnswerNoticeReply()
 
     async def _on_sync(self, request: pb.SyncRequest, sender: str) -> pb.SyncReply:
         if request.HasField("entry"):
             is_known = request.registry_epoch == self._epoch
-            self._followers.note(sender, request.registry_version if is_known else 0)
+            self._entry_host_progress.note(
+                sender, request.registry_version if is_known else 0
+            )
             report = EntryReport.from_message(request.entry)
             self._entries.note_own(report, request.is_source)
         asked_at = self._timers.now()
@@ -190,7 +192,7 @@
             waited=self._timers.now() - asked_at,
             table_version=self._tables.current.version,
             registry_epoch=self._epoch,
-            registry_version=self._book.version,
+            registry_version=self._catalog.version,
             control_hosts=self._control_hosts(),
             voters=self._voters(),
             entry_count=self._entries.count,
@@ -223,7 +225,7 @@
     def _has_news(self, request: pb.SyncRequest) -> bool:
         if request.registry_epoch != self._epoch:
             return True
-        if request.registry_version < self._book.version:
+        if request.registry_version < self._catalog.version:
             return True
         if self._knows_rollouts_besides(request):
             return True
@@ -236,14 +238,14 @@
     def _add_upstreams(self, request: pb.SyncRequest, reply: pb.SyncReply) -> None:
         reply.is_whole = request.registry_epoch != self._epoch
         since = 0 if reply.is_whole else request.registry_version
-        for announcement, age in self._book.changed_since(since):
+        for announcement, age in self._catalog.changed_since(since):
             message = announcement.to_message(age)
-            message.is_silent = announcement.key in self._book.silent
-            limit = self._book.latest_limit(announcement.key)
+            message.is_silent = announcement.key in self._catalog.silent
+            limit = self._catalog.latest_limit(announcement.key)
             if limit is not None:
                 message.limit.CopyFrom(limit.to_message(self._timers.now()))
             if request.is_control:
-                message.heard_by = self._book.heard_by(announcement.id)
+                message.heard_by = self._catalog.heard_by(announcement.id)
             reply.upstreams.append(message)
         if request.is_control and not reply.is_whole:
             self._add_renewals(reply)
@@ -281,10 +283,10 @@
     def _add_renewals(self, reply: pb.SyncReply) -> None:
         """Tell another control host that upstreams without news live on."""
         told = {message.id for message in reply.upstreams}
-        for announcement in self._book.all():
-            if announcement.key in self._book.silent or announcement.id in told:
+        for announcement in self._catalog.all():
+            if announcement.key in self._catalog.silent or announcement.id in told:
                 continue
             if announcement.takes_work:
-                message = announcement.to_message(self._book.age(announcement.id))
-                message.heard_by = self._book.heard_by(announcement.id)
+                message = announcement.to_message(self._catalog.age(announcement.id))
+                message.heard_by = self._catalog.heard_by(announcement.id)
                 reply.upstreams.append(message)
--- a/src/pepperstep/coordination/table_fetcher.py
+++ b/src/pepperstep/coordination/table_fetcher.py
@@ -159,7 +159,7 @@
         data, self._partial = self._partial.data, _Partial()
         try:
             document = apply_update(self._tables.document, data)
-            await self._tables.take_in_steps(document)
+            await self._tables.install_in_steps(document)
         except Failure as failure:
             logging.error("fetcher: An update of %s: %s", source, failure.text)
             self._needs_whole = True
--- a/src/pepperstep/coordination/table_history.py
+++ b/src/pepperstep/coordination/table_history.py
@@ -36,7 +36,7 @@
         # Digests of the updates to the newest version, by the asker's version.
         self._digests: dict[int, int] = {}
 
-    def note(self, document: Document) -> None:
+    def add(self, document: Document) -> None:
         """Take a newer document."""
         if self._document.version:
             self._add_step(make_step(self._document, document))
--- a/src/pepperstep/coordination/tables.py
+++ b/src/pepperstep/coordination/tables.py
@@ -98,12 +98,12 @@
         """Call `subscriber` with each table that comes in force."""
         self._subscribers.append(subscriber)
 
-    def take(self, document: Document) -> None:
+    def install(self, document: Document) -> None:
         """Put an agreed document in force, unless it isn't newer."""
         for _ in self._take(document):
             pass
 
-    async def take_in_steps(self, document: Document) -> None:
+    async def install_in_steps(self, document: Document) -> None:
         """Do the same, and let requests run while a large document is read."""
         for _ in self._take(document):
             await trio.lowlevel.checkpoint()
--- a/src/pepperstep/coordination/upstream_book.py
+++ b/src/pepperstep/coordination/upstream_catalog.py
@@ -23,7 +23,7 @@
 from pepperstep.coordination.records import Announcement, StatedLimit, UpstreamKey
 from pepperstep.observability.decisions import UpstreamLimit, UpstreamState
 
-__all__ = ["UpstreamBook"]
+__all__ = ["UpstreamCatalog"]
 
 # Upstreams that are gone are remembered, so that a late announcement doesn't
 # bring them back. 10,000 upstreams that are replaced once an hour leave
@@ -53,7 +53,7 @@
     limit: StatedLimit | None = None
 
 
-class UpstreamBook:
+class UpstreamCatalog:
     """Upstreams by id; `version` grows with each change."""
 
     def __init__(self, now: Callable[[], float], name: str = ""):
@@ -141,7 +141,7 @@
         keys = [entry.announcement.key for entry in self._entries.values()]
         return sum(self.limit_of(key) is not None for key in keys)
 
-    def note_leaving(self, upstream: UpstreamKey, told_by: str = _ANSWER) -> bool:
+    def mark_leaving(self, upstream: UpstreamKey, told_by: str = _ANSWER) -> bool:
         """Take in that an upstream's answers say that it leaves.
 
         Return whether that's news.
@@ -153,7 +153,7 @@
         self._put(replace(entry, announcement=leaving), told_by)
         return True
 
-    def note_limit(
+    def record_limit(
         self, upstream: UpstreamKey, limit: StatedLimit, told_by: str = _ANSWER
     ) -> bool:
         """Take in a stated limit, and return whether it differs from the known one.
@@ -209,7 +209,7 @@
             for entry in self._entries.values()
         )
 
-    def note(
+    def record(
         self,
         announcement: Announcement,
         age: float = 0.0,
@@ -246,7 +246,7 @@
         self._put(entry, told_by)
         return True
 
-    def note_gone(
+    def mark_gone(
         self, upstream: str, incarnation: int | None = None, told_by: str = _ITSELF
     ) -> None:
         """Take in that a start of an upstream is gone, known or not.
@@ -262,9 +262,9 @@
         if incarnation > known.incarnation:
             known = replace(known, incarnation=incarnation, sequence=0)
         if incarnation == known.incarnation:
-            self.note(replace(known, is_gone=True), age, told_by)
+            self.record(replace(known, is_gone=True), age, told_by)
 
-    def note_silent(self, upstream: UpstreamKey, age: float, told_by: str) -> None:
+    def mark_silent(self, upstream: UpstreamKey, age: float, told_by: str) -> None:
         """Take in that a host whose latest word of an upstream is so old misses it.
 
         A host that has heard of the upstream since then knows better.
--- a/src/pepperstep/coordination/usage.py
+++ b/src/pepperstep/coordination/usage.py
@@ -10,8 +10,8 @@
 
 from absl import logging
 
-from pepperstep.coordination.duty import Duty
-from pepperstep.coordination.entry_book import EntryBook
+from pepperstep.coordination.entry_host_catalog import EntryHostCatalog
+from pepperstep.coordination.leader_lease import LeaderLease
 from pepperstep.coordination.records import counts_to_messages, messages_to_counts
 from pepperstep.errors import Failure
 from pepperstep.observability.decisions import UsageReported
@@ -78,15 +78,15 @@
 
     def __init__(
         self,
-        duty: Duty,
+        leader_lease: LeaderLease,
         window: float,
         agreement: Agreement,
-        entries: EntryBook,
+        entries: EntryHostCatalog,
         ledger: UsageLedger,
         timers: Timers,
         wall: Callable[[], float],
     ):
-        self._duty = duty
+        self._duty = leader_lease
         self._window = window
         self._agreement = agreement
         self._entries = entries
--- a/src/pepperstep/entities/routes.py
+++ b/src/pepperstep/entities/routes.py
@@ -9,7 +9,7 @@
 
 __all__ = [
     "CallerLimits",
-    "EngineFacts",
+    "EngineCapacity",
     "Quota",
     "Repetition",
     "Route",
@@ -74,7 +74,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EngineFacts:
+class EngineCapacity:
     """What the operators say of a service's model engines."""
 
     # Requests that one engine runs at the same time.
@@ -105,7 +105,7 @@
     health_path: str = ""
     # Connections that one upstream takes from all hosts together, 0 for any.
     max_connections: int = 0
-    engine: EngineFacts | None = None
+    engine: EngineCapacity | None = None
     scaling: ScalingBounds | None = None
 
 
--- a/src/pepperstep/fakes/relaying.py
+++ b/src/pepperstep/fakes/relaying.py
@@ -200,6 +200,6 @@
         """Take the connection's reset."""
         self.is_aborted = True
 
-    async def wait_gone(self) -> None:
+    async def wait_disconnected(self) -> None:
         """Return once the caller has left."""
         await self._gone.wait()
--- a/src/pepperstep/fleet/__init__.py
+++ b/src/pepperstep/fleet/__init__.py
@@ -1,12 +1,12 @@
 """The leader's fleet: hosts rented, models loaded, and the record of it."""
 
-from pepperstep.fleet.acts import Act, ActKind, ActState
+from pepperstep.fleet.acts import Action, ActionKind, ActionState
 from pepperstep.fleet.costs import CostAccount, CostKey
 from pepperstep.fleet.demand import Demand, Need, needed_replicas
 from pepperstep.fleet.events import Event, EventLog
 from pepperstep.fleet.fleet import Fleet, FleetPorts
 from pepperstep.fleet.history import Pool, PoolKey
-from pepperstep.fleet.machine import MACHINE_NAME, OrderMachine
+from pepperstep.fleet.machine import MACHINE_NAME, FleetStateMachine
 from pepperstep.fleet.notices import OnReclaim
 from pepperstep.fleet.observer import DemandSource, UpstreamRegistry
 from pepperstep.fleet.plan import Decision, StartHost, StopHost, plan_fleet
@@ -17,9 +17,9 @@
 from pepperstep.fleet.views import DeploymentView, HostView, PoolView
 
 __all__ = [
-    "Act",
-    "ActKind",
-    "ActState",
+    "Action",
+    "ActionKind",
+    "ActionState",
     "CostAccount",
     "CostKey",
     "Decision",
@@ -36,7 +36,7 @@
     "MACHINE_NAME",
     "Need",
     "OnReclaim",
-    "OrderMachine",
+    "FleetStateMachine",
     "POLICIES",
     "Pool",
     "PoolKey",
--- a/src/pepperstep/fleet/acts.py
+++ b/src/pepperstep/fleet/actions.py
@@ -7,10 +7,10 @@
 from pepperstep.ports.cloud import Offer
 from pepperstep.ports.upstreams import OrderKind, UpstreamOrder
 
-__all__ = ["Act", "ActKind", "ActState", "Step", "is_allowed"]
+__all__ = ["Action", "ActionKind", "ActionState", "Step", "is_allowed"]
 
 
-class ActKind(enum.StrEnum):
+class ActionKind(enum.StrEnum):
     """What an act does; orders have the names of `OrderKind`."""
 
     START = "start"
@@ -21,7 +21,7 @@
     DRAIN = "drain"
 
 
-class ActState(enum.StrEnum):
+class ActionState(enum.StrEnum):
     """How far an act is."""
 
     # Committed, and surely not sent.
@@ -35,18 +35,18 @@
     ENDED = "ended"
 
 
-_OPEN = frozenset({ActState.RECORDED, ActState.SENT})
-_CLOSING = frozenset({ActState.DONE, ActState.UNDONE, ActState.REFUSED})
+_OPEN = frozenset({ActionState.RECORDED, ActionState.SENT})
+_CLOSING = frozenset({ActionState.DONE, ActionState.UNDONE, ActionState.REFUSED})
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Act:
+class Action:
     """One act as the control hosts agreed on it; times are Unix times."""
 
     # Token of a start, id of an order.
     id: str
-    kind: ActKind
-    state: ActState = ActState.RECORDED
+    kind: ActionKind
+    state: ActionState = ActionState.RECORDED
     # Handed out by the log, and higher than that of each earlier act.
     fence: int = 0
     deployment: str = ""
@@ -73,14 +73,14 @@
     @property
     def is_host(self) -> bool:
         """Whether it's a start whose host may live."""
-        return self.kind is ActKind.START and (
-            self.is_open or self.state is ActState.DONE
+        return self.kind is ActionKind.START and (
+            self.is_open or self.state is ActionState.DONE
         )
 
     @property
     def is_order(self) -> bool:
         """Whether it goes to an upstream."""
-        return self.kind not in (ActKind.START, ActKind.STOP)
+        return self.kind not in (ActionKind.START, ActionKind.STOP)
 
     @property
     def subject(self) -> str:
@@ -100,25 +100,25 @@
 
     id: str
     fence: int
-    state: ActState
+    state: ActionState
     host_id: str = ""
     reason: str = ""
 
     @classmethod
     def of(
-        cls, act: Act, state: ActState, reason: str = "", host_id: str = ""
+        cls, act: Action, state: ActionState, reason: str = "", host_id: str = ""
     ) -> "Step":
         """Return the step of `act` to `state`."""
         return cls(act.id, act.fence, state, host_id, reason)
 
 
-def is_allowed(act: Act, state: ActState) -> bool:
+def is_allowed(act: Action, state: ActionState) -> bool:
     """Whether the act may go to `state`; to RECORDED means a new number."""
     match act.state:
-        case ActState.RECORDED:
-            return state in _CLOSING or state is ActState.SENT
-        case ActState.SENT:
-            return state in _CLOSING or state is ActState.RECORDED
-        case ActState.DONE:
-            return act.kind is ActKind.START and state is ActState.ENDED
+        case ActionState.RECORDED:
+            return state in _CLOSING or state is ActionState.SENT
+        case ActionState.SENT:
+            return state in _CLOSING or state is ActionState.RECORDED
+        case ActionState.DONE:
+            return act.kind is ActionKind.START and state is ActionState.ENDED
     return False
--- a/src/pepperstep/fleet/fleet.py
+++ b/src/pepperstep/fleet/fleet.py
@@ -13,10 +13,10 @@
 
 from pepperstep.configuration import Configuration
 from pepperstep.errors import Failure
-from pepperstep.fleet.acts import Act, ActKind
+from pepperstep.fleet.acts import Action, ActionKind
 from pepperstep.fleet.costs import rates_of
 from pepperstep.fleet.hosts import TOKEN_PREFIX, HostKeeper
-from pepperstep.fleet.machine import MACHINE_NAME, OrderMachine
+from pepperstep.fleet.machine import MACHINE_NAME, FleetStateMachine
 from pepperstep.fleet.notices import OnReclaim, ReclaimWatch
 from pepperstep.fleet.observer import DemandSource, Observer, UpstreamRegistry
 from pepperstep.fleet.orders import OrderSender
@@ -56,7 +56,7 @@
     def __init__(
         self,
         ports: FleetPorts,
-        machine: OrderMachine,
+        machine: FleetStateMachine,
         configuration: Callable[[], Configuration],
         on_reclaim: OnReclaim,
         *,
@@ -88,7 +88,7 @@
         Must be called on each control host, before the log runs.
         `configuration` gives what is in force; `options` are those of `Fleet`.
         """
-        machine = OrderMachine()
+        machine = FleetStateMachine()
         ports.agreement.register(MACHINE_NAME, machine)
         return cls(ports, machine, configuration, on_reclaim, **options)
 
@@ -206,7 +206,7 @@
         orders = plan_models(views, self._tuning.load_window)
         await self._record([self._order_of(order) for order in orders] + self._drains())
 
-    async def _record(self, acts: list[Act]) -> None:
+    async def _record(self, acts: list[Action]) -> None:
         for start in range(0, len(acts), _ACTS_PER_COMMIT):
             if not self.record.is_valid:
                 return
@@ -223,41 +223,41 @@
         if rates != costs.rates or age >= self._tuning.cost_period:
             await self.record.commit(rates=rates)
 
-    def _act_of(self, decision: Decision) -> Act:
+    def _act_of(self, decision: Decision) -> Action:
         if isinstance(decision, StartHost):
-            return Act(
+            return Action(
                 id=self.record.new_id(TOKEN_PREFIX),
-                kind=ActKind.START,
+                kind=ActionKind.START,
                 deployment=decision.deployment,
                 offer=decision.offer,
                 reason=decision.reason,
             )
-        return Act(
+        return Action(
             id=self.record.new_id("stop"),
-            kind=ActKind.STOP,
+            kind=ActionKind.STOP,
             deployment=decision.deployment,
             host_id=decision.host_id,
             reason=decision.reason,
         )
 
-    def _drains(self) -> list[Act]:
+    def _drains(self) -> list[Action]:
         """Return orders to the engines on hosts that are to be stopped."""
         return [
-            Act(
+            Action(
                 id=self.record.new_id("order"),
-                kind=ActKind.DRAIN,
+                kind=ActionKind.DRAIN,
                 deployment=stop.deployment,
                 upstream=engine.name,
                 upstream_epoch=engine.epoch,
                 reason=f"Its host {stop.host_id} is to be stopped.",
             )
-            for stop in self.record.machine.open_acts()
-            if stop.kind is ActKind.STOP
+            for stop in self.record.machine.open_actions()
+            if stop.kind is ActionKind.STOP
             for engine in self._observer.undrained_engines(stop.host_id)
         ]
 
-    def _order_of(self, order: OrderEngine) -> Act:
-        return Act(
+    def _order_of(self, order: OrderEngine) -> Action:
+        return Action(
             id=self.record.new_id("order"),
             kind=order.kind,
             deployment=order.deployment,
@@ -272,7 +272,7 @@
         """Return the upstreams that don't check fencing numbers."""
         deployments = {
             act.upstream: configuration.deployments.get(act.deployment)
-            for act in self.record.machine.open_acts()
+            for act in self.record.machine.open_actions()
         }
         return frozenset(
             name
--- a/src/pepperstep/fleet/hosts.py
+++ b/src/pepperstep/fleet/hosts.py
@@ -14,7 +14,7 @@
 from absl import logging
 
 from pepperstep.errors import Failure
-from pepperstep.fleet.acts import Act, ActKind, ActState, Step
+from pepperstep.fleet.acts import Action, ActionKind, ActionState, Step
 from pepperstep.fleet.history import Mark, MarkKind, Pool, PoolKey
 from pepperstep.fleet.record import FleetRecord
 from pepperstep.fleet.tuning import FleetTuning
@@ -73,13 +73,13 @@
         """
         until = self._timers.now() + self._tuning.cloud_timeout
         async with trio.open_nursery() as nursery:
-            for act in self._record.machine.open_acts():
-                if act.kind is ActKind.START:
+            for act in self._record.machine.open_actions():
+                if act.kind is ActionKind.START:
                     nursery.start_soon(self._guard, self._start, act, until)
-                elif act.kind is ActKind.STOP and self._may_stop(act, is_drained):
+                elif act.kind is ActionKind.STOP and self._may_stop(act, is_drained):
                     nursery.start_soon(self._guard, self._stop, act, until)
 
-    async def _guard(self, work: Callable, act: Act, until: float) -> None:
+    async def _guard(self, work: Callable, act: Action, until: float) -> None:
         """Do the work, a few at a time; what isn't begun by `until` waits."""
         async with self._calls:
             if self._timers.now() >= until:
@@ -90,7 +90,7 @@
                 text = failure.text
                 logging.warning("fleet: %s %s waits: %s", act.kind, act.id, text)
 
-    async def _start(self, act: Act) -> None:
+    async def _start(self, act: Action) -> None:
         if await self._is_given_up(act):
             return
         if not await self._mark_sent(act):
@@ -106,32 +106,32 @@
         if host is not None:
             await self._note_started(act, host.id)
 
-    async def _mark_sent(self, act: Act) -> bool:
+    async def _mark_sent(self, act: Action) -> bool:
         """Return whether the act is recorded as sent and this host leads now."""
-        if act.state is ActState.RECORDED:
-            touched = await self._record.commit(steps=[Step.of(act, ActState.SENT)])
+        if act.state is ActionState.RECORDED:
+            touched = await self._record.commit(steps=[Step.of(act, ActionState.SENT)])
             return bool(touched) and self._record.is_valid
         return self._record.is_valid
 
-    async def _is_given_up(self, act: Act) -> bool:
+    async def _is_given_up(self, act: Action) -> bool:
         age = self._timers.wall() - act.recorded_at
         if age < self._tuning.start_timeout:
             return False
         reason = f"No answer of the cloud for {age:.0f} s."
-        await self._record.commit(steps=[Step.of(act, ActState.UNDONE, reason)])
+        await self._record.commit(steps=[Step.of(act, ActionState.UNDONE, reason)])
         return True
 
-    async def _note_started(self, act: Act, host_id: str) -> None:
-        step = Step.of(act, ActState.DONE, host_id=host_id)
+    async def _note_started(self, act: Action, host_id: str) -> None:
+        step = Step.of(act, ActionState.DONE, host_id=host_id)
         mark = Mark(PoolKey.of(act.offer), MarkKind.STARTED)
         await self._record.commit(steps=[step], marks=[mark])
 
-    async def _note_refused(self, act: Act, refusal: StartRefused) -> None:
+    async def _note_refused(self, act: Action, refusal: StartRefused) -> None:
         key = PoolKey.of(act.offer)
         seconds = max(refusal.retry_after, self._backoff(key))
         mark = Mark(key, MarkKind.REFUSED, self._timers.wall() + seconds)
         reason = f"{refusal}; no start in {key} for {seconds:.0f} s."
-        step = Step.of(act, ActState.REFUSED, reason)
+        step = Step.of(act, ActionState.REFUSED, reason)
         await self._record.commit(steps=[step], marks=[mark])
 
     def _backoff(self, key: PoolKey) -> float:
@@ -145,13 +145,13 @@
         )
         return longest * (0.5 + self._rng.random() / 2)
 
-    def _may_stop(self, act: Act, is_drained: Callable[[str], bool]) -> bool:
+    def _may_stop(self, act: Action, is_drained: Callable[[str], bool]) -> bool:
         age = self._timers.wall() - act.recorded_at
         if is_drained(act.host_id):
             return age >= self._tuning.drain_settle
         return age >= self._tuning.drain_timeout
 
-    async def _stop(self, act: Act) -> None:
+    async def _stop(self, act: Action) -> None:
         if not await self._mark_sent(act):
             return
         is_stopped = False
@@ -164,7 +164,7 @@
         if is_stopped:
             await self._note_gone(act.host_id, "It was stopped.")
 
-    async def _note_listing(self, known: list[Act], hosts: list[CloudHost]) -> None:
+    async def _note_listing(self, known: list[Action], hosts: list[CloudHost]) -> None:
         """Record starts that are found, and hosts that are gone.
 
         `known` are the starts from before the listing.
@@ -176,7 +176,7 @@
                 self._missing.pop(act.id, None)
                 if act.is_open:
                     await self._note_started(act, host.id)
-            elif act.state is ActState.DONE:
+            elif act.state is ActionState.DONE:
                 self._missing[act.id] = self._missing.get(act.id, 0) + 1
                 if self._missing[act.id] >= _MISSING_LISTINGS:
                     del self._missing[act.id]
@@ -188,8 +188,8 @@
         for act in self._record.machine.acts.values():
             if act.host_id != host_id:
                 continue
-            is_start = act.kind is ActKind.START
-            state = ActState.ENDED if is_start else ActState.DONE
+            is_start = act.kind is ActionKind.START
+            state = ActionState.ENDED if is_start else ActionState.DONE
             steps.append(Step.of(act, state, reason))
         await self._record.commit(steps=steps)
 
@@ -210,13 +210,13 @@
 
     async def _stop_orphan(self, host: CloudHost) -> None:
         reason = f"Its token {host.token} is not in the record."
-        act = Act(
+        act = Action(
             id=self._record.new_id("stop"),
-            kind=ActKind.STOP,
+            kind=ActionKind.STOP,
             deployment=host.deployment,
             host_id=host.id,
             reason=reason,
         )
-        stops = {a.host_id for a in self._record.machine.open_acts()}
+        stops = {a.host_id for a in self._record.machine.open_actions()}
         if host.id not in stops:
             await self._record.commit(acts=[act])
--- a/src/pepperstep/fleet/machine.py
+++ b/src/pepperstep/fleet/machine.py
@@ -12,7 +12,7 @@
 from google.protobuf.message import DecodeError
 
 from pepperstep.errors import Code, Failure
-from pepperstep.fleet.acts import Act, ActKind, ActState, Step, is_allowed
+from pepperstep.fleet.acts import Action, ActionKind, ActionState, Step, is_allowed
 from pepperstep.fleet.costs import CostAccount, CostKey
 from pepperstep.fleet.events import Event, EventLog
 from pepperstep.fleet.history import Pool, PoolKey
@@ -31,7 +31,7 @@
 from pepperstep.ports.cloud import PriceClass, ReclaimNotice
 from pepperstep.proto import fleet_pb2 as pb
 
-__all__ = ["MACHINE_NAME", "OrderMachine"]
+__all__ = ["MACHINE_NAME", "FleetStateMachine"]
 
 # Name under which the machine is registered with the log.
 MACHINE_NAME = "fleet"
@@ -44,16 +44,16 @@
 _NOTICE_SECONDS = 600.0
 
 
-class OrderMachine:
+class FleetStateMachine:
     """Acts, notices, pools, costs and events, equal on all control hosts."""
 
     def __init__(self) -> None:
         self.costs = CostAccount()
         self.events = EventLog()
         # Open acts, and starts whose host lives, by id.
-        self.acts: dict[str, Act] = {}
+        self.acts: dict[str, Action] = {}
         # Others, the newest last.
-        self.finished: deque[Act] = deque(maxlen=_FINISHED_KEPT)
+        self.finished: deque[Action] = deque(maxlen=_FINISHED_KEPT)
         self.pools: dict[PoolKey, Pool] = {}
         self.notices: dict[int, ReclaimNotice] = {}
         # Notices that were handed on to the requests' moves.
@@ -75,11 +75,11 @@
         """Host that leads in the newest epoch."""
         return self._leader
 
-    def hosts(self) -> list[Act]:
+    def hosts(self) -> list[Action]:
         """Return the starts that are open or whose host lives."""
         return [act for act in self.acts.values() if act.is_host]
 
-    def open_acts(self) -> list[Act]:
+    def open_actions(self) -> list[Action]:
         """Return the acts that are neither done nor given up, oldest first."""
         return [act for act in self.acts.values() if act.is_open]
 
@@ -168,14 +168,14 @@
         text = f"Leads the fleet in epoch {self._epoch}, term {self._term}."
         self.events.add(Event(command.time, "lead", self._leader, text))
 
-    def _record(self, acts: Iterable[Act], time: float) -> list[Act]:
+    def _record(self, acts: Iterable[Action], time: float) -> list[Action]:
         recorded = []
         for act in acts:
             if act.id in self.acts or len(self.acts) >= _MAX_ACTS:
                 continue
             new = replace(
                 act,
-                state=ActState.RECORDED,
+                state=ActionState.RECORDED,
                 fence=self._next_fence(),
                 recorded_at=time,
                 changed_at=time,
@@ -187,10 +187,10 @@
             recorded.append(new)
         return recorded
 
-    def _advance(self, steps: Iterable[Step], time: float) -> list[Act]:
+    def _advance(self, steps: Iterable[Step], time: float) -> list[Action]:
         return [self._step(step, time) for step in steps]
 
-    def _step(self, step: Step, time: float) -> Act | None:
+    def _step(self, step: Step, time: float) -> Action | None:
         act = self.acts.get(step.id)
         if act is None or act.fence != step.fence or not is_allowed(act, step.state):
             return None
@@ -200,14 +200,14 @@
             host_id=step.host_id or act.host_id,
             changed_at=time,
         )
-        if step.state is ActState.RECORDED:
+        if step.state is ActionState.RECORDED:
             new = replace(new, fence=self._next_fence(), repeats=act.repeats + 1)
         if new.is_open or new.is_host:
             self.acts[act.id] = new
         else:
             del self.acts[act.id]
             self.finished.append(new)
-        if step.state is not ActState.SENT:
+        if step.state is not ActionState.SENT:
             text = f"{act.kind} {act.id} is {step.state}."
             self.events.add(
                 Event(time, f"{act.kind}_{step.state}", new.subject, text, step.reason)
@@ -262,14 +262,14 @@
         return fields <= {"id", "time", "events"}
 
 
-def _describe(act: Act) -> str:
-    if act.kind is ActKind.START:
+def _describe(act: Action) -> str:
+    if act.kind is ActionKind.START:
         offer = act.offer
         return (
             f"Start a host for {act.deployment} in {offer.zone}, {offer.machine}, "
             f"{offer.price_class}, {offer.price:g} an hour."
         )
-    if act.kind is ActKind.STOP:
+    if act.kind is ActionKind.STOP:
         return f"Stop a host of {act.deployment}."
     key = act.model_key
     detail = act.role or ""
--- a/src/pepperstep/fleet/messages.py
+++ b/src/pepperstep/fleet/messages.py
@@ -1,7 +1,7 @@
 """Commands and state of the fleet as messages, and back."""
 
 from pepperstep.entities import ModelKey, Role
-from pepperstep.fleet.acts import Act, ActKind, ActState, Step
+from pepperstep.fleet.acts import Action, ActionKind, ActionState, Step
 from pepperstep.fleet.events import Event
 from pepperstep.fleet.history import Mark, MarkKind, Pool, PoolKey
 from pepperstep.ports.cloud import Offer, PriceClass, ReclaimNotice
@@ -23,7 +23,7 @@
 ]
 
 
-def act_to(act: Act) -> pb.FleetAct:
+def act_to(act: Action) -> pb.FleetAct:
     """Return the act as a message."""
     message = pb.FleetAct(
         id=act.id,
@@ -50,17 +50,17 @@
     return message
 
 
-def act_from(message: pb.FleetAct) -> Act:
+def act_from(message: pb.FleetAct) -> Action:
     """Return the act in a message."""
     offer = _offer_from(message.offer) if message.HasField("offer") else None
     key = None
     if message.HasField("model"):
         found = message.model
         key = ModelKey(found.model, found.adapter, found.version)
-    return Act(
+    return Action(
         id=message.id,
-        kind=ActKind(message.kind),
-        state=ActState(message.state),
+        kind=ActionKind(message.kind),
+        state=ActionState(message.state),
         fence=message.fence,
         deployment=message.deployment,
         reason=message.reason,
@@ -92,7 +92,7 @@
     return Step(
         message.id,
         message.fence,
-        ActState(message.state),
+        ActionState(message.state),
         message.host_id,
         message.reason,
     )
--- a/src/pepperstep/fleet/notices.py
+++ b/src/pepperstep/fleet/notices.py
@@ -10,7 +10,7 @@
 from absl import logging
 
 from pepperstep.fleet.history import Mark, MarkKind, PoolKey
-from pepperstep.fleet.machine import OrderMachine
+from pepperstep.fleet.machine import FleetStateMachine
 from pepperstep.fleet.record import FleetRecord
 from pepperstep.fleet.tuning import FleetTuning
 from pepperstep.ports import Timers
@@ -59,7 +59,7 @@
             await self._record.commit(notices=new, marks=self._marks(machine, new))
             await self._hand_on(machine)
 
-    async def _hand_on(self, machine: OrderMachine) -> None:
+    async def _hand_on(self, machine: FleetStateMachine) -> None:
         waiting = [
             notice
             for notice in machine.notices.values()
@@ -76,7 +76,9 @@
             ids = [notice.id for notice in waiting]
             await self._record.commit(handed_notices=ids)
 
-    def _marks(self, machine: OrderMachine, notices: list[ReclaimNotice]) -> list[Mark]:
+    def _marks(
+        self, machine: FleetStateMachine, notices: list[ReclaimNotice]
+    ) -> list[Mark]:
         offers = {act.host_id: act.offer for act in machine.hosts()}
         marks = {}
         for notice in notices:
--- a/src/pepperstep/fleet/observer.py
+++ b/src/pepperstep/fleet/observer.py
@@ -7,7 +7,7 @@
 
 from pepperstep.configuration import Configuration, Deployment
 from pepperstep.entities import Upstream, UpstreamKind
-from pepperstep.fleet.acts import Act, ActKind, ActState
+from pepperstep.fleet.acts import Action, ActionKind, ActionState
 from pepperstep.fleet.demand import (
     Demand,
     Need,
@@ -17,7 +17,7 @@
 )
 from pepperstep.fleet.history import Pool, PoolKey, decayed_count
 from pepperstep.fleet.hosts import TOKEN_PREFIX
-from pepperstep.fleet.machine import OrderMachine
+from pepperstep.fleet.machine import FleetStateMachine
 from pepperstep.fleet.rollout import EngineView, RolloutView
 from pepperstep.fleet.tuning import FleetTuning
 from pepperstep.fleet.views import DeploymentView, HostView, PoolView
@@ -45,13 +45,13 @@
     # Engines by host.
     engines: dict[str, list[Upstream]]
     # Starts by deployment.
-    starts: dict[str, list[Act]]
+    starts: dict[str, list[Action]]
     # Hosts that are being taken back or stopped.
     leaving: frozenset[str]
     # Orders by the upstream's name and epoch, the latest ones last.
-    orders: dict[tuple[str, int], list[Act]]
+    orders: dict[tuple[str, int], list[Action]]
 
-    def orders_of(self, engine: Upstream) -> list[Act]:
+    def orders_of(self, engine: Upstream) -> list[Action]:
         """Return the orders to one life of an engine."""
         return self.orders.get((engine.name, engine.epoch), [])
 
@@ -61,7 +61,7 @@
 
     def __init__(
         self,
-        machine: OrderMachine,
+        machine: FleetStateMachine,
         registry: UpstreamRegistry,
         weights: Weights,
         timers: Timers,
@@ -123,12 +123,12 @@
             for engine in self._look().engines.get(host_id, [])
         )
 
-    def _is_draining(self, act: Act) -> bool:
+    def _is_draining(self, act: Action) -> bool:
         """Whether the act stands against another order to drain."""
-        if act.kind is not ActKind.DRAIN:
+        if act.kind is not ActionKind.DRAIN:
             return False
         age = self._timers.wall() - act.changed_at
-        is_refused = act.state is ActState.REFUSED
+        is_refused = act.state is ActionState.REFUSED
         return act.is_open or not is_refused or age < self._tuning.refused_pause
 
     def _look(self) -> _Scene:
@@ -137,8 +137,8 @@
             if upstream.kind is UpstreamKind.ENGINE:
                 engines[upstream.host].append(upstream)
         leaving = {notice.host_id for notice in self._machine.notices.values()}
-        for act in self._machine.open_acts():
-            if act.kind is ActKind.STOP:
+        for act in self._machine.open_actions():
+            if act.kind is ActionKind.STOP:
                 leaving.add(act.host_id)
         for host in self._foreign:
             if host.state is HostState.RECLAIMING:
@@ -148,9 +148,9 @@
             starts[act.deployment].append(act)
         return _Scene(dict(engines), dict(starts), frozenset(leaving), self._orders())
 
-    def _orders(self) -> dict[tuple[str, int], list[Act]]:
+    def _orders(self) -> dict[tuple[str, int], list[Action]]:
         orders = defaultdict(list)
-        for act in (*self._machine.finished, *self._machine.open_acts()):
+        for act in (*self._machine.finished, *self._machine.open_actions()):
             if act.is_order:
                 orders[act.upstream, act.upstream_epoch].append(act)
         return dict(orders)
@@ -188,7 +188,7 @@
                 views.append(HostView("", host.id, key, host.price, ready, is_leaving))
         return views
 
-    def _host_view(self, act: Act, scene: _Scene) -> HostView:
+    def _host_view(self, act: Action, scene: _Scene) -> HostView:
         since = self._unready_since.get(act.host_id)
         unready_for = 0.0 if since is None else self._timers.now() - since
         return HostView(
@@ -207,7 +207,7 @@
         self._unready_since = {
             act.host_id: self._unready_since.get(act.host_id, now)
             for act in self._machine.hosts()
-            if act.state is ActState.DONE
+            if act.state is ActionState.DONE
             and not _is_ready(scene, act.host_id)
             and not _waits_for_load(scene, act.host_id)
         }
@@ -301,20 +301,20 @@
         return replace(view, is_settled=self._is_settled(view))
 
     def _engine_view(
-        self, engine: Upstream, deployment: Deployment, acts: list[Act]
+        self, engine: Upstream, deployment: Deployment, acts: list[Action]
     ) -> EngineView:
         key = deployment.model_key
         now = self._timers.wall()
         is_loading = key not in engine.models and any(
-            act.kind is ActKind.LOAD
+            act.kind is ActionKind.LOAD
             and act.model_key == key
-            and (act.is_open or act.state is ActState.DONE)
+            and (act.is_open or act.state is ActionState.DONE)
             and now - act.changed_at < self._tuning.load_timeout
             for act in acts
         )
         is_paused = any(
             act.is_open
-            or act.state is ActState.REFUSED
+            or act.state is ActionState.REFUSED
             and now - act.changed_at < self._tuning.refused_pause
             for act in acts
         )
@@ -345,7 +345,7 @@
     """Whether a host's engines are there and no load was tried on any."""
     engines = scene.engines.get(host_id, [])
     return bool(engines) and not any(
-        act.kind is ActKind.LOAD and not act.is_open
+        act.kind is ActionKind.LOAD and not act.is_open
         for engine in engines
         for act in scene.orders_of(engine)
     )
--- a/src/pepperstep/fleet/orders.py
+++ b/src/pepperstep/fleet/orders.py
@@ -14,7 +14,7 @@
 
 from pepperstep.entities import Upstream
 from pepperstep.errors import Failure
-from pepperstep.fleet.acts import Act, ActKind, ActState, Step
+from pepperstep.fleet.acts import Action, ActionKind, ActionState, Step
 from pepperstep.fleet.record import FleetRecord
 from pepperstep.fleet.tuning import FleetTuning
 from pepperstep.ports import Timers
@@ -58,8 +58,8 @@
 
         Upstreams named in `ignoring` don't check fencing numbers.
         """
-        orders: dict[str, list[Act]] = defaultdict(list)
-        for act in self._record.machine.open_acts():
+        orders: dict[str, list[Action]] = defaultdict(list)
+        for act in self._record.machine.open_actions():
             if act.is_order:
                 orders[act.upstream].append(act)
         async with trio.open_nursery() as nursery:
@@ -69,7 +69,7 @@
                 )
 
     async def _advance_one(
-        self, acts: list[Act], upstream: Upstream | None, is_ignoring: bool
+        self, acts: list[Action], upstream: Upstream | None, is_ignoring: bool
     ) -> None:
         async with self._calls:
             try:
@@ -79,7 +79,7 @@
                 logging.warning("fleet: Orders to %s wait: %s", name, failure.text)
 
     async def _advance_all(
-        self, acts: list[Act], upstream: Upstream | None, is_ignoring: bool
+        self, acts: list[Action], upstream: Upstream | None, is_ignoring: bool
     ) -> None:
         gone = [
             act
@@ -88,16 +88,16 @@
         ]
         if gone:
             reason = "The upstream's process has ended."
-            await self._finish(gone, ActState.UNDONE, reason)
+            await self._finish(gone, ActionState.UNDONE, reason)
         for act in sorted(acts, key=lambda act: act.fence):
             if act not in gone and not await self._give(act, upstream, is_ignoring):
                 return
 
-    async def _give(self, act: Act, upstream: Upstream, is_ignoring: bool) -> bool:
+    async def _give(self, act: Action, upstream: Upstream, is_ignoring: bool) -> bool:
         """Return whether the next order may follow now."""
         if is_ignoring and not self._is_quiet(upstream):
             return False
-        is_doubtful = act.state is ActState.SENT
+        is_doubtful = act.state is ActionState.SENT
         is_unknown = (upstream.name, upstream.epoch) not in self._read
         if is_doubtful or (is_ignoring and is_unknown):
             state = await self._read_state(upstream)
@@ -105,7 +105,7 @@
                 return False
             if _is_carried_out(act, state):
                 reason = "It was read back as carried out."
-                return await self._finish([act], ActState.DONE, reason)
+                return await self._finish([act], ActionState.DONE, reason)
         if is_doubtful:
             act = await self._repeat(act)
         return act is not None and await self._send(act, upstream)
@@ -130,19 +130,19 @@
             self._read.add((upstream.name, upstream.epoch))
         return state
 
-    async def _repeat(self, act: Act) -> Act | None:
+    async def _repeat(self, act: Action) -> Action | None:
         """Record the order again with a new number, None if often enough."""
         if act.repeats >= _MAX_REPEATS:
             reason = f"Sent {act.repeats + 1} times without an answer."
-            await self._finish([act], ActState.UNDONE, reason)
+            await self._finish([act], ActionState.UNDONE, reason)
             return None
         reason = "It was in doubt and read back as not carried out."
-        steps = [Step.of(act, ActState.RECORDED, reason)]
+        steps = [Step.of(act, ActionState.RECORDED, reason)]
         return next(iter(await self._record.commit(steps=steps)), None)
 
-    async def _send(self, act: Act, upstream: Upstream) -> bool:
+    async def _send(self, act: Action, upstream: Upstream) -> bool:
         """Send an order; return whether it was accepted."""
-        if not await self._record.commit(steps=[Step.of(act, ActState.SENT)]):
+        if not await self._record.commit(steps=[Step.of(act, ActionState.SENT)]):
             return False
         ttl = self._tuning.order_ttl
         if not await self._record.wait_lease(ttl):
@@ -154,33 +154,35 @@
             self._doubted_at[upstream.name] = self._timers.now()
             return False
         await self._record.commit(steps=[step])
-        return step.state is ActState.DONE
+        return step.state is ActionState.DONE
 
-    async def _attempt(self, act: Act, upstream: Upstream) -> Step | None:
+    async def _attempt(self, act: Action, upstream: Upstream) -> Step | None:
         """Return the order's end, None if it's in doubt."""
         try:
             await self._client.send_order(upstream, act.to_order())
         except UpstreamRefused as refusal:
-            return Step.of(act, ActState.REFUSED, str(refusal))
+            return Step.of(act, ActionState.REFUSED, str(refusal))
         except UpstreamFault as fault:
             logging.warning("fleet: Order %s is in doubt: %s", act.id, fault)
             return None
-        return Step.of(act, ActState.DONE)
+        return Step.of(act, ActionState.DONE)
 
-    async def _finish(self, acts: list[Act], state: ActState, reason: str) -> bool:
+    async def _finish(
+        self, acts: list[Action], state: ActionState, reason: str
+    ) -> bool:
         steps = [Step.of(act, state, reason) for act in acts]
         await self._record.commit(steps=steps)
         return True
 
 
-def _is_carried_out(act: Act, state: UpstreamState) -> bool:
+def _is_carried_out(act: Action, state: UpstreamState) -> bool:
     if state.last_order == act.id:
         return True
     match act.kind:
-        case ActKind.LOAD:
+        case ActionKind.LOAD:
             return act.model_key in state.models
-        case ActKind.UNLOAD:
+        case ActionKind.UNLOAD:
             return act.model_key not in state.models
-        case ActKind.SET_ROLE:
+        case ActionKind.SET_ROLE:
             return state.role is act.role
     return state.is_leaving
--- a/src/pepperstep/fleet/record.py
+++ b/src/pepperstep/fleet/record.py
@@ -6,11 +6,11 @@
 from absl import logging
 
 from pepperstep.errors import Code, Failure
-from pepperstep.fleet.acts import Act, Step
+from pepperstep.fleet.acts import Action, Step
 from pepperstep.fleet.costs import CostKey
 from pepperstep.fleet.events import Event
 from pepperstep.fleet.history import Mark
-from pepperstep.fleet.machine import MACHINE_NAME, OrderMachine
+from pepperstep.fleet.machine import MACHINE_NAME, FleetStateMachine
 from pepperstep.fleet.messages import (
     act_from,
     act_to,
@@ -37,7 +37,7 @@
         self,
         host: str,
         agreement: Agreement,
-        machine: OrderMachine,
+        machine: FleetStateMachine,
         timers: Timers,
         rng: random.Random,
         tuning: FleetTuning,
@@ -82,14 +82,14 @@
     async def commit(
         self,
         *,
-        acts: Iterable[Act] = (),
+        acts: Iterable[Action] = (),
         steps: Iterable[Step] = (),
         marks: Iterable[Mark] = (),
         notices: Iterable[ReclaimNotice] = (),
         handed_notices: Iterable[int] = (),
         rates: dict[CostKey, float] | None = None,
         events: Iterable[Event] = (),
-    ) -> list[Act]:
+    ) -> list[Action]:
         """Commit changes together and return the acts that they touched.
 
         Raise `Failure` with `FENCED` if a newer epoch has begun, and with
--- a/src/pepperstep/fleet/rollout.py
+++ b/src/pepperstep/fleet/rollout.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from pepperstep.entities import ModelKey, Role
-from pepperstep.fleet.acts import ActKind
+from pepperstep.fleet.acts import ActionKind
 
 __all__ = ["EngineView", "OrderEngine", "RolloutView", "plan_models"]
 
@@ -52,7 +52,7 @@
 
     deployment: str
     engine: EngineView
-    kind: ActKind
+    kind: ActionKind
     reason: str
     model_key: ModelKey | None = None
     role: Role | None = None
@@ -94,7 +94,9 @@
             f"{seconds:.0f} s of the weight store's rate are in use."
         )
         orders.append(
-            OrderEngine(view.deployment, engine, ActKind.LOAD, reason, view.model_key)
+            OrderEngine(
+                view.deployment, engine, ActionKind.LOAD, reason, view.model_key
+            )
         )
 
 
@@ -125,7 +127,7 @@
         OrderEngine(
             view.deployment,
             engine,
-            ActKind.UNLOAD,
+            ActionKind.UNLOAD,
             f"{view.ready} of {view.wanted} replicas have what is wanted.",
             key,
         )
@@ -146,6 +148,6 @@
             continue
         reason = f"{prefill} of {len(engines)} engines only prefill."
         orders.append(
-            OrderEngine(view.deployment, engine, ActKind.SET_ROLE, reason, role=role)
+            OrderEngine(view.deployment, engine, ActionKind.SET_ROLE, reason, role=role)
         )
     return orders
--- a/src/pepperstep/membership/health.py
+++ b/src/pepperstep/membership/health.py
@@ -25,7 +25,7 @@
         return 1 + self._score
 
     @property
-    def is_cut_off(self) -> bool:
+    def is_isolated(self) -> bool:
         """Whether nobody has answered this host lately."""
         return self._timers.now() - self._last_contact > _CONTACT_TIMEOUT
 
--- a/src/pepperstep/membership/membership.py
+++ b/src/pepperstep/membership/membership.py
@@ -102,9 +102,9 @@
         return self._table.own
 
     @property
-    def is_cut_off(self) -> bool:
+    def is_isolated(self) -> bool:
         """Whether no other host answers, so that the view can't be trusted."""
-        return bool(self._table.others()) and self._health.is_cut_off
+        return bool(self._table.others()) and self._health.is_isolated
 
     def hosts(self) -> list[Host]:
         """Return the hosts that serve, leaving and suspected ones included."""
--- a/src/pepperstep/node.py
+++ b/src/pepperstep/node.py
@@ -29,9 +29,9 @@
 from pepperstep.requests import (
     LINK_MACHINE,
     LinkMachine,
-    Notice,
     Recovery,
     RequestService,
+    TerminationNotice,
 )
 from pepperstep.requests.mover import MoveSettings
 from pepperstep.routing import Router, RoutingSettings
@@ -261,7 +261,7 @@
             self.router,
             self._ports.upstreams,
             is_single=self._settings.requests.is_single,
-            resume_grace=limits.resume_grace_seconds,
+            resume_grace_seconds=limits.resume_grace_seconds,
             outcome_seconds=limits.outcome_seconds,
             claims=self._claims,
             recorder=self.metrics,
@@ -301,15 +301,18 @@
         if after is None or not after.is_leaving:
             return
         if before is None or not before.is_leaving:
-            self.recovery.moves.note_leaving(after)
+            self.recovery.moves.add_leaving_upstream(after)
 
     async def _reclaim(self, notices: list[ReclaimNotice]) -> None:
         """Tell all entry hosts of hosts that the cloud takes back."""
         for notice in notices:
             self.registry.mark_host_leaving(notice.host_id)
             self.events.note("fleet", f"The cloud takes {notice.host_id} back.")
-        self.recovery.moves.reclaim(
-            [Notice(f"cloud-{each.id}", each.at, each.host_id) for each in notices]
+        self.recovery.moves.add_notices(
+            [
+                TerminationNotice(f"cloud-{each.id}", each.at, each.host_id)
+                for each in notices
+            ]
         )
 
     async def _join_fences(self) -> None:
--- a/src/pepperstep/observability/metrics.py
+++ b/src/pepperstep/observability/metrics.py
@@ -104,43 +104,45 @@
         """Return all metrics in the text format."""
         return generate_latest(self.registry)
 
-    def note_first_token(
+    def record_first_token(
         self, workspace: str, priority: Priority, seconds: float
     ) -> None:
         """Note the time from a request's arrival to its first token."""
         self._first_token.observe(workspace, priority, seconds)
 
-    def note_between_tokens(
+    def record_token_interval(
         self, workspace: str, priority: Priority, seconds: float
     ) -> None:
         """Note the mean time between the tokens of one chunk."""
         self._between_tokens.observe(workspace, priority, seconds)
 
-    def note_answered(self, workspace: str, priority: Priority, seconds: float) -> None:
+    def record_answer(self, workspace: str, priority: Priority, seconds: float) -> None:
         """Note the time from a request's arrival to its whole answer."""
         self._answered.observe(workspace, priority, seconds)
 
-    def note_queued(self, workspace: str, priority: Priority, seconds: float) -> None:
+    def record_queueing(
+        self, workspace: str, priority: Priority, seconds: float
+    ) -> None:
         """Note the time that an attempt waited for a place."""
         self._queued.observe(workspace, priority, seconds)
 
-    def note_refused(self, code: Code) -> None:
+    def record_refusal(self, code: Code) -> None:
         """Note a request that ended by an error."""
         self._refused.labels(code).inc()
 
-    def note_retry(self, cause: RetryCause) -> None:
+    def record_retry(self, cause: RetryCause) -> None:
         """Note an attempt after the first one."""
         self._retries.labels(cause).inc()
 
-    def note_recomputed(self, cause: RecomputeCause, tokens: int) -> None:
+    def record_recomputed(self, cause: RecomputeCause, tokens: int) -> None:
         """Note tokens of prompt and answer computed again."""
         self._recomputed.labels(cause).inc(tokens)
 
-    def note_chunk_fault(self, fault: ChunkFault) -> None:
+    def record_chunk_fault(self, fault: ChunkFault) -> None:
         """Note a chunk that was dropped."""
         self._chunk_faults.labels(fault).inc()
 
-    def note_cost(self, deployment: str, price_class: str, amount: float) -> None:
+    def record_cost(self, deployment: str, price_class: str, amount: float) -> None:
         """Note money spent on a deployment's hosts."""
         self._cost.labels(deployment, price_class).inc(amount)
 
--- a/src/pepperstep/observability/recorder.py
+++ b/src/pepperstep/observability/recorder.py
@@ -48,68 +48,72 @@
 class Recorder(Protocol):
     """Takes facts; each call costs a few microseconds and never waits."""
 
-    def note_first_token(
+    def record_first_token(
         self, workspace: str, priority: Priority, seconds: float
     ) -> None:
         """Note the time from a request's arrival to its first token (HTTP)."""
 
-    def note_between_tokens(
+    def record_token_interval(
         self, workspace: str, priority: Priority, seconds: float
     ) -> None:
         """Note the mean time between the tokens of one chunk (HTTP)."""
 
-    def note_answered(self, workspace: str, priority: Priority, seconds: float) -> None:
+    def record_answer(self, workspace: str, priority: Priority, seconds: float) -> None:
         """Note the time from a request's arrival to its whole answer (HTTP)."""
 
-    def note_queued(self, workspace: str, priority: Priority, seconds: float) -> None:
+    def record_queueing(
+        self, workspace: str, priority: Priority, seconds: float
+    ) -> None:
         """Note the time that an attempt waited for a place (routing)."""
 
-    def note_refused(self, code: Code) -> None:
+    def record_refusal(self, code: Code) -> None:
         """Note a request that ended by an error (HTTP)."""
 
-    def note_retry(self, cause: RetryCause) -> None:
+    def record_retry(self, cause: RetryCause) -> None:
         """Note an attempt after the first one (requests)."""
 
-    def note_recomputed(self, cause: RecomputeCause, tokens: int) -> None:
+    def record_recomputed(self, cause: RecomputeCause, tokens: int) -> None:
         """Note tokens of prompt and answer computed again (requests)."""
 
-    def note_chunk_fault(self, fault: ChunkFault) -> None:
+    def record_chunk_fault(self, fault: ChunkFault) -> None:
         """Note a chunk that was dropped (requests)."""
 
-    def note_cost(self, deployment: str, price_class: str, amount: float) -> None:
+    def record_cost(self, deployment: str, price_class: str, amount: float) -> None:
         """Note money spent on a deployment's hosts (fleet)."""
 
 
 class NullRecorder:
     """Recorder that drops all facts; the default of the jobs."""
 
-    def note_first_token(
+    def record_first_token(
         self, workspace: str, priority: Priority, seconds: float
     ) -> None:
         """Do nothing."""
 
-    def note_between_tokens(
+    def record_token_interval(
         self, workspace: str, priority: Priority, seconds: float
     ) -> None:
         """Do nothing."""
 
-    def note_answered(self, workspace: str, priority: Priority, seconds: float) -> None:
+    def record_answer(self, workspace: str, priority: Priority, seconds: float) -> None:
         """Do nothing."""
 
-    def note_queued(self, workspace: str, priority: Priority, seconds: float) -> None:
+    def record_queueing(
+        self, workspace: str, priority: Priority, seconds: float
+    ) -> None:
         """Do nothing."""
 
-    def note_refused(self, code: Code) -> None:
+    def record_refusal(self, code: Code) -> None:
         """Do nothing."""
 
-    def note_retry(self, cause: RetryCause) -> None:
+    def record_retry(self, cause: RetryCause) -> None:
         """Do nothing."""
 
-    def note_recomputed(self, cause: RecomputeCause, tokens: int) -> None:
+    def record_recomputed(self, cause: RecomputeCause, tokens: int) -> None:
         """Do nothing."""
 
-    def note_chunk_fault(self, fault: ChunkFault) -> None:
+    def record_chunk_fault(self, fault: ChunkFault) -> None:
         """Do nothing."""
 
-    def note_cost(self, deployment: str, price_class: str, amount: float) -> None:
+    def record_cost(self, deployment: str, price_class: str, amount: float) -> None:
         """Do nothing."""
--- a/src/pepperstep/platform/calls.py
+++ b/src/pepperstep/platform/calls.py
@@ -60,10 +60,10 @@
     async def read_rollout(self, service: str) -> Rollout:
         """Return the service's latest roll-out; raise `UNKNOWN_NAME` if it had none."""
 
-    async def note_announcement(self, announcement: Announcement) -> None:
+    async def receive_announcement(self, announcement: Announcement) -> None:
         """Process an upstream's heartbeat."""
 
-    async def note_gone(self, upstream: str, incarnation: int | None) -> None:
+    async def mark_gone(self, upstream: str, incarnation: int | None) -> None:
         """Process an upstream's deregistration, of the latest incarnation for None."""
 
 
@@ -193,13 +193,13 @@
             software=heartbeat.version,
             incarnation=heartbeat.born,
         )
-        await self._operations.note_announcement(announcement)
+        await self._operations.receive_announcement(announcement)
         return Answer(200, b"{}", _JSON)
 
     async def _handle_deregistration(self, call: _Call) -> Answer:
         upstream = _name_after(names.DEREGISTER, call.path)
         born = _decode(call.body, _Deregistration).born if call.body else None
-        await self._operations.note_gone(upstream, born)
+        await self._operations.mark_gone(upstream, born)
         return Answer(200, b"{}", _JSON)
 
 
--- a/src/pepperstep/platform/documents.py
+++ b/src/pepperstep/platform/documents.py
@@ -7,7 +7,7 @@
 
 from pepperstep.entities.routes import (
     CallerLimits,
-    EngineFacts,
+    EngineCapacity,
     Quota,
     Repetition,
     Route,
@@ -275,7 +275,7 @@
 def _service_of(service: _Service) -> Service:
     engine = scaling = None
     if service.engine is not None:
-        engine = EngineFacts(service.engine.slots, service.engine.kv_capacity_tokens)
+        engine = EngineCapacity(service.engine.slots, service.engine.kv_capacity_tokens)
     if service.autoscale is not None:
         scale = service.autoscale
         scaling = ScalingBounds(
--- a/src/pepperstep/ports/exchange.py
+++ b/src/pepperstep/ports/exchange.py
@@ -98,7 +98,7 @@
     def abort(self) -> None:
         """Break the connection off, so that the answer can't look complete."""
 
-    async def wait_gone(self) -> None:
+    async def wait_disconnected(self) -> None:
         """Return once the caller has closed the connection."""
 
 
--- a/src/pepperstep/programs/control_host.py
+++ b/src/pepperstep/programs/control_host.py
@@ -8,23 +8,23 @@
     TABLE_MACHINE,
     USAGE_MACHINE,
     Announcement,
-    ControlDesk,
-    Duty,
-    EntryBook,
-    Ordering,
-    Sync,
+    Autoscaler,
+    EntryHostCatalog,
+    LeaderLease,
+    SyncClient,
+    SyncServer,
     TableMachine,
     TableStore,
-    UpstreamBook,
+    UpstreamCatalog,
     UsageMachine,
     UsageReporter,
     propose_table,
 )
-from pepperstep.coordination.contact import Contact
 from pepperstep.coordination.departures import Departures
-from pepperstep.coordination.followers import Followers
+from pepperstep.coordination.entry_host_progress import EntryHostProgress
 from pepperstep.coordination.hints import Hints
-from pepperstep.coordination.silence import SilenceJudge
+from pepperstep.coordination.quorum_monitor import QuorumMonitor
+from pepperstep.coordination.silence import SilenceDetector
 from pepperstep.coordination.table_updates import Document
 from pepperstep.errors import Code, Failure
 from pepperstep.observability.relay_metrics import RelayMetrics
@@ -69,28 +69,30 @@
             peers=ports.peers,
             timers=ports.timers,
             rng=ports.rng,
-            contacts=tuple(seed for seed in settings.seeds if seed != self._peer_name),
-            size=2 * control.tolerated_losses + 1,
+            seed_hosts=tuple(
+                seed for seed in settings.seeds if seed != self._peer_name
+            ),
+            target_voter_count=2 * control.tolerated_losses + 1,
         )
         self.tables = TableStore(ports.decode)
-        self.machine = TableMachine(self.tables.take)
+        self.machine = TableMachine(self.tables.install)
         self.metrics = RelayMetrics()
         self._usage = UsageMachine()
         self.agreement.register(TABLE_MACHINE, self.machine)
         self._rollout_machine = RolloutMachine()
         self.agreement.register(USAGE_MACHINE, self._usage)
         self.agreement.register(ROLLOUT_MACHINE, self._rollout_machine)
-        self.book = UpstreamBook(ports.timers.now, self._peer_name)
-        self.entries = EntryBook(ports.timers.now)
-        self.sync = Sync(
+        self.catalog = UpstreamCatalog(ports.timers.now, self._peer_name)
+        self.entries = EntryHostCatalog(ports.timers.now)
+        self.sync = SyncClient(
             self._peer_name,
             settings.seeds,
             ports.peers,
             ports.timers,
             self.tables,
-            self.book,
+            self.catalog,
         )
-        self._contact = Contact(
+        self._contact = QuorumMonitor(
             self._peer_name,
             self.agreement.voters,
             lambda: self.sync.reached,
@@ -99,11 +101,11 @@
         self.rollouts = RolloutDirector(
             self.agreement,
             self._rollout_machine,
-            self.book,
+            self.catalog,
             self.entries,
             ports.peers,
             ports.timers,
-            lambda: self.sync.true_time,
+            lambda: self.sync.median_time,
             settings.bounds.order_seconds + _RESEND_MARGIN_SECONDS,
             ExposureBound(
                 settings.bounds.expose_share, settings.bounds.expose_allowance
@@ -112,40 +114,40 @@
         self._hints = Hints(
             ports.storage,
             self.tables,
-            self.book,
+            self.catalog,
             self.entries,
             ports.timers,
             self.rollouts,
         )
-        followers = Followers(ports.timers)
+        entry_host_progress = EntryHostProgress(ports.timers)
         departures = Departures(
             self._peer_name,
             ports.peers,
             ports.timers,
-            self.book,
-            followers,
+            self.catalog,
+            entry_host_progress,
             self._control_hosts,
             self.agreement.voters,
             self._hints.store,
         )
-        self.desk = ControlDesk(
+        self.sync_server = SyncServer(
             self._peer_name,
             ports.peers,
             ports.timers,
             self.tables,
-            self.book,
+            self.catalog,
             self.entries,
             self._control_hosts,
             self.agreement.voters,
             departures,
-            followers,
+            entry_host_progress,
             epoch=ports.rng.getrandbits(48),
-            is_in_contact=self._contact.is_held,
+            is_in_contact=self._contact.has_quorum,
             rollouts=self.rollouts,
         )
-        self.sync.on_reply = self.desk.absorb
-        self._silence = SilenceJudge(self.book, ports.timers.now, self._contact)
-        self._duty = Duty(
+        self.sync.on_reply = self.sync_server.merge_reply
+        self._silence = SilenceDetector(self.catalog, ports.timers.now, self._contact)
+        self._duty = LeaderLease(
             settings.host, self.agreement, ports.timers, settings.bounds.duty_lease
         )
         self._watch_gauges()
@@ -202,13 +204,13 @@
         self._contact.check()
         return await self.rollouts.read(service)
 
-    async def note_announcement(self, announcement: Announcement) -> None:
+    async def receive_announcement(self, announcement: Announcement) -> None:
         """Take in what an upstream says of itself."""
-        await self.desk.note_announcement(announcement)
+        await self.sync_server.receive_announcement(announcement)
 
-    async def note_gone(self, upstream: str, incarnation: int | None = None) -> None:
+    async def mark_gone(self, upstream: str, incarnation: int | None = None) -> None:
         """Take in that an upstream ends."""
-        await self.desk.note_gone(upstream, incarnation)
+        await self.sync_server.mark_gone(upstream, incarnation)
 
     def entry_addresses(self, zone: str) -> list[str]:
         """Return addresses for callers, those of their availability zone first."""
@@ -224,7 +226,7 @@
         watch("term", "Term of the log.", lambda: self.agreement.term)
         watch("entry_hosts", "In contact.", lambda: self.entries.count)
         watch("control_hosts", "In reach.", lambda: len(self.sync.reached))
-        watch("upstreams", "That take work.", self.book.working_count)
+        watch("upstreams", "That take work.", self.catalog.working_count)
 
     def _make_reporter(self, ports: RelayPorts) -> UsageReporter | None:
         if ports.ledger is None:
@@ -236,18 +238,18 @@
             self.entries,
             ports.ledger,
             ports.timers,
-            lambda: self.sync.true_time,
+            lambda: self.sync.median_time,
         )
 
-    def _make_ordering(self, ports: RelayPorts) -> Ordering | None:
+    def _make_ordering(self, ports: RelayPorts) -> Autoscaler | None:
         if ports.orders is None:
             return None
-        return Ordering(
+        return Autoscaler(
             self._duty,
             ports.orders,
             self.tables,
             self.entries,
-            self.book,
+            self.catalog,
             lambda: self._settings.zones,
             ports.timers,
             self.rollouts.is_trial,
@@ -255,6 +257,6 @@
 
     async def _tidy(self) -> None:
         async for _ in self._timers.subscribe(_TIDY_SECONDS):
-            self._silence.look()
-            self.book.forget_silent(_FORGET_SECONDS)
-            self.entries.note_contacts()
+            self._silence.check()
+            self.catalog.forget_silent(_FORGET_SECONDS)
+            self.entries.log_contact_changes()
--- a/src/pepperstep/programs/entry_host.py
+++ b/src/pepperstep/programs/entry_host.py
@@ -7,9 +7,9 @@
     Announcement,
     EntryReport,
     HostShare,
-    Sync,
+    SyncClient,
     TableStore,
-    UpstreamBook,
+    UpstreamCatalog,
     UpstreamKey,
 )
 from pepperstep.coordination.host_share import CONTACT_SECONDS
@@ -26,15 +26,15 @@
     RetryBudget,
     RunCounts,
 )
-from pepperstep.relay.attempt import Attempts
+from pepperstep.relay.attempt import AttemptRunner
 from pepperstep.relay.backoff import Backoff
 from pepperstep.relay.budget import BudgetSettings
-from pepperstep.relay.journal import RelayJournal
-from pepperstep.relay.keepers import Keepers
+from pepperstep.relay.keepers import KeyOwners
 from pepperstep.relay.permits import Permits
-from pepperstep.relay.prompts import PromptMemory
+from pepperstep.relay.prompts import PrefillTracker
 from pepperstep.relay.quota_claims import QuotaClaims
 from pepperstep.relay.quotas import QuotaTolerance
+from pepperstep.relay.recorder import RelayRecorder
 from pepperstep.relay.shared_load import SharedLoad
 from pepperstep.relay.signals import AnswerSignals
 from pepperstep.rollouts import (
@@ -67,14 +67,14 @@
         now = ports.timers.now
         self.metrics = RelayMetrics()
         self.tables = TableStore(ports.decode)
-        self.book = UpstreamBook(now)
-        self.sync = Sync(
+        self.catalog = UpstreamCatalog(now)
+        self.sync = SyncClient(
             settings.peer_address,
             settings.seeds,
             ports.peers,
             ports.timers,
             self.tables,
-            self.book,
+            self.catalog,
             self._report,
         )
         bounds = settings.bounds
@@ -84,7 +84,7 @@
         self._quotas = Quotas(
             self._host_count, now, tolerance, self._is_in_contact, ports.rng.random()
         )
-        keepers = Keepers(
+        keepers = KeyOwners(
             settings.peer_address,
             ports.peers,
             ports.timers,
@@ -92,7 +92,7 @@
         )
         claims = QuotaClaims(keepers, ports.peers, self._quotas)
         self._counts = RunCounts(bounds.usage_window, self._true_time)
-        prompts = PromptMemory(now)
+        prompts = PrefillTracker(now)
         self._shared_load = SharedLoad(
             keepers,
             ports.peers,
@@ -110,7 +110,7 @@
         )
         self._backoff = Backoff(now)
         self._permits = Permits(
-            self.book,
+            self.catalog,
             self._backoff,
             keepers,
             ports.peers,
@@ -119,14 +119,14 @@
             ports.rng,
         )
         self._signals = AnswerSignals(
-            self.book,
+            self.catalog,
             self._backoff,
             ports.peers,
             ports.timers,
             lambda: self.sync.reached,
         )
         self._chooser = Chooser(
-            self.book,
+            self.catalog,
             self._pools,
             settings.zone,
             self._host_count,
@@ -144,10 +144,10 @@
             self._share,
             now,
         )
-        attempts = Attempts(
+        attempts = AttemptRunner(
             ports.wire,
             self._pools,
-            self.book,
+            self.catalog,
             self._chooser,
             self._counts,
             self._signals,
@@ -157,27 +157,27 @@
         self.relay = Relay(
             ports.wire,
             self.tables,
-            self.book,
+            self.catalog,
             self._chooser,
             self._permits,
             attempts,
             self._quotas,
             claims,
             budget,
-            RelayJournal(self.metrics, self.tables, self.book, ports.timers),
+            RelayRecorder(self.metrics, self.tables, self.catalog, ports.timers),
             ports.timers,
             ports.rng,
             self._takes_streams,
         )
         self._watch_gauges()
         self.tables.subscribe(self._quotas.watch)
-        self.sync.on_admitted = self._quotas.note_elsewhere
-        self.sync.on_restart = self._quotas.note_restart
-        self.sync.is_hurried = lambda: self._quotas.is_pressed
-        self.book.subscribe(self._note_upstream)
-        self.book.subscribe_restarts(self._note_ended)
-        self.book.subscribe_forgotten(self._note_forgotten)
-        self._silence_votes = SilenceVotes(self.book, now)
+        self.sync.on_admitted = self._quotas.record_spent_elsewhere
+        self.sync.on_restart = self._quotas.refill_after_restart
+        self.sync.needs_fresh_counts = lambda: self._quotas.has_active_workspace
+        self.catalog.subscribe(self._note_upstream)
+        self.catalog.subscribe_restarts(self._note_ended)
+        self.catalog.subscribe_forgotten(self._note_forgotten)
+        self._silence_votes = SilenceVotes(self.catalog, now)
         self.sync.on_reply = self._note_reply
         self.sync.rollouts_index = lambda: self.versions.index
 
@@ -208,14 +208,14 @@
         if self._leaving_since is None:
             logging.info("entry: Leaves.")
             self._leaving_since = self._timers.now()
-            self.sync.ask_now()
+            self.sync.sync_now()
 
     def _watch_gauges(self) -> None:
         watch = self.metrics.watch
         watch("routes_version", "In force.", lambda: self.tables.current.version)
         watch("control_hosts", "In reach.", lambda: len(self.sync.reached))
-        watch("upstreams", "That take work.", self.book.working_count)
-        watch("limited_upstreams", "That state a limit.", self.book.limited_count)
+        watch("upstreams", "That take work.", self.catalog.working_count)
+        watch("limited_upstreams", "That state a limit.", self.catalog.limited_count)
         watch("ready", "1 if callers are told of it.", lambda: self.is_ready)
 
     def _takes_streams(self) -> bool:
@@ -245,13 +245,13 @@
         return share.hosts if share.joins else self.sync.entry_count
 
     def _true_time(self) -> float:
-        return self.sync.true_time
+        return self.sync.median_time
 
     def _in_flight_besides(self, rollout: Rollout) -> int:
         """Return the requests under way at a service's other versions."""
         return sum(
             self._chooser.work_at(each.key).requests
-            for each in self.book.all()
+            for each in self.catalog.all()
             if each.service == rollout.service and each.software != rollout.to
         )
 
@@ -264,14 +264,14 @@
     ) -> None:
         rollout = self.versions.get(upstream.service)
         if rollout is not None and rollout.is_running:
-            self._observer.note_outcome(rollout, route, upstream, seconds, expected)
+            self._observer.record_outcome(rollout, route, upstream, seconds, expected)
 
     def _take_rollouts(self, reply: pb.SyncReply) -> None:
         if reply.judge:
             self._observer.judge = reply.judge
         for message in reply.rollouts:
             rollout = Rollout.from_message(message)
-            if self.versions.take(rollout):
+            if self.versions.update(rollout):
                 logging.info(
                     "entry: Roll-out %d of %s to %s is %s at %.0f%%.",
                     rollout.number,
@@ -283,19 +283,19 @@
                 self._observer.wake()
 
     def _note_upstream(self, announcement: Announcement) -> None:
-        self.versions.note_upstream(announcement)
+        self.versions.observe_upstream(announcement)
         if not announcement.takes_work:
-            self._pools.drop(announcement.key)
+            self._pools.close_idle(announcement.key)
         if announcement.is_gone:
             self._forget(announcement.key)
 
     def _note_ended(self, before: Announcement) -> None:
         """Drop what an upstream had in the incarnation before its restart."""
-        self._pools.cut(before.key)
+        self._pools.close_all(before.key)
         self._forget(before.key)
 
     def _note_forgotten(self, upstream: Announcement) -> None:
-        self._pools.drop(upstream.key)
+        self._pools.close_idle(upstream.key)
         self._forget(upstream.key)
         self._silence_votes.forget(upstream.key)
 
@@ -306,13 +306,13 @@
         self._backoff.forget(upstream)
 
     def _note_reply(self, control_host: str, reply: pb.SyncReply, age: float) -> None:
-        self._silence_votes.note_answer(control_host, reply)
+        self._silence_votes.record_reply(control_host, reply)
         if reply.is_in_contact:
-            self._share.note_told(self.sync.entry_count)
+            self._share.record_host_count(self.sync.entry_count)
         self._take_rollouts(reply)
 
     async def _tidy(self) -> None:
         async for _ in self._timers.subscribe(_TIDY_SECONDS):
-            self.book.forget_silent(_FORGET_SECONDS)
+            self.catalog.forget_silent(_FORGET_SECONDS)
             self._pools.close_expired()
             self._permits.drop_idle()
--- a/src/pepperstep/relay/attempt.py
+++ b/src/pepperstep/relay/attempt.py
@@ -7,7 +7,7 @@
 import trio
 from absl import logging
 
-from pepperstep.coordination import Announcement, UpstreamBook, UpstreamKey
+from pepperstep.coordination import Announcement, UpstreamCatalog, UpstreamKey
 from pepperstep.entities.routes import Route, Service, Workspace
 from pepperstep.ports import Timers
 from pepperstep.ports.exchange import (
@@ -24,7 +24,7 @@
 from pepperstep.relay.pools import Pools
 from pepperstep.relay.signals import AnswerSignals
 
-__all__ = ["Attempt", "Attempts", "NoteOutcome", "Outcome"]
+__all__ = ["Attempt", "AttemptRunner", "NoteOutcome", "Outcome"]
 
 # Answers up to this size are read whole before their head is sent on, so that
 # one that breaks off can be tried again; in bytes.
@@ -104,14 +104,14 @@
         return self.facts.attempt_id.decode("latin-1")
 
 
-class Attempts:
+class AttemptRunner:
     """Sends requests to upstreams and passes their answers on."""
 
     def __init__(
         self,
         wire: RelayWire,
         pools: Pools,
-        book: UpstreamBook,
+        catalog: UpstreamCatalog,
         chooser: Chooser,
         counts: RunCounts,
         signals: AnswerSignals,
@@ -120,7 +120,7 @@
     ):
         self._wire = wire
         self._pools = pools
-        self._book = book
+        self._catalog = catalog
         self._chooser = chooser
         self._counts = counts
         self._signals = signals
@@ -270,7 +270,7 @@
         attempt.note_failed(upstream.id, f"refused with {head.status}")
         if facts.other_upstream and facts.other_upstream != upstream.id:
             # The address belongs to another upstream by now.
-            self._book.note_gone(upstream.id, upstream.incarnation, _ANSWER)
+            self._catalog.mark_gone(upstream.id, upstream.incarnation, _ANSWER)
         return Outcome.NOT_RUN
 
     async def _keep_failure(
@@ -377,7 +377,7 @@
             return
         attempt.is_unread = False
         seconds = self._timers.now() - attempt.begun_at if is_read else None
-        self._chooser.note_read(attempt.choice, seconds)
+        self._chooser.record_prefill(attempt.choice, seconds)
 
     def _count(self, attempt: Attempt) -> None:
         """Take in that a run's first token or answer is there."""
--- a/src/pepperstep/relay/choice.py
+++ b/src/pepperstep/relay/choice.py
@@ -11,7 +11,7 @@
 from pepperstep.coordination import (
     Announcement,
     ServiceWork,
-    UpstreamBook,
+    UpstreamCatalog,
     UpstreamKey,
 )
 from pepperstep.entities.routes import Service
@@ -19,7 +19,7 @@
 from pepperstep.relay.backoff import Backoff
 from pepperstep.relay.load import LoadMeter
 from pepperstep.relay.pools import Pools
-from pepperstep.relay.prompts import PromptMemory, ReadingSpeed
+from pepperstep.relay.prompts import PrefillTracker, ReadingSpeed
 from pepperstep.relay.shared_load import UpstreamWork
 
 __all__ = ["Choice", "Chooser", "OthersWork", "Versions"]
@@ -68,7 +68,7 @@
     ) -> dict[UpstreamKey, UpstreamWork]:
         """Return others' work, without upstreams of which nothing is known."""
 
-    def note_change(self, upstream: UpstreamKey, unread: int) -> None:
+    def report_unread(self, upstream: UpstreamKey, unread: int) -> None:
         """Take in this host's own unread tokens there."""
 
 
@@ -108,7 +108,7 @@
         """Return nothing."""
         return {}
 
-    def note_change(self, upstream: UpstreamKey, unread: int) -> None:
+    def report_unread(self, upstream: UpstreamKey, unread: int) -> None:
         """Tell nobody."""
 
 
@@ -126,21 +126,21 @@
 
     def __init__(
         self,
-        book: UpstreamBook,
+        catalog: UpstreamCatalog,
         pools: Pools,
         zone: str,
         host_count: Callable[[], int],
         now: Callable[[], float],
         rng: random.Random,
-        prompts: PromptMemory | None = None,
+        prompts: PrefillTracker | None = None,
         others: OthersWork | None = None,
         versions: Versions | None = None,
         backoff: Backoff | None = None,
     ):
-        self._book = book
+        self._catalog = catalog
         self._pools = pools
         self._host_count = host_count
-        self._prompts = prompts or PromptMemory(now)
+        self._prompts = prompts or PrefillTracker(now)
         self._others = others or _Unheard()
         self._versions = versions or _AnyVersion()
         self._backoff = backoff or Backoff(now)
@@ -176,7 +176,7 @@
 
     def shortest_hold(self, service: Service) -> float:
         """Return the seconds for which all upstreams are held, 0 if one isn't."""
-        usable = self._book.usable(service.name)
+        usable = self._catalog.usable(service.name)
         return self._backoff.shortest(each.key for each in usable)
 
     def work_at(self, upstream: UpstreamKey) -> UpstreamWork:
@@ -202,7 +202,7 @@
             self._prompts.begin(upstream.key, facts.prompt_parts, choice.missing)
             self._note_unread(upstream.key)
 
-    def note_read(self, choice: Choice, seconds: float | None) -> None:
+    def record_prefill(self, choice: Choice, seconds: float | None) -> None:
         """Count a prompt's first token after `seconds`, None for its end without."""
         self._prompts.end(choice.upstream.key, choice.missing)
         self._note_unread(choice.upstream.key)
@@ -249,7 +249,7 @@
 
         A version whose upstreams are all left alone counts as one that has failed.
         """
-        usable = self._book.usable(service.name)
+        usable = self._catalog.usable(service.name)
         selected = self._versions.select(service.name, usable, facts, tried)
         if selected and self._backoff.shortest(each.key for each in selected):
             failed = {each.key for each in selected}
@@ -345,7 +345,7 @@
         return UpstreamWork(self._host_count() * own.unread, own.requests)
 
     def _note_unread(self, upstream: UpstreamKey) -> None:
-        self._others.note_change(upstream, self._prompts.unread_of(upstream))
+        self._others.report_unread(upstream, self._prompts.unread_of(upstream))
 
     def _rank(
         self, candidates: list[Announcement], facts: RequestFacts
--- a/src/pepperstep/relay/keepers.py
+++ b/src/pepperstep/relay/keepers.py
@@ -13,7 +13,7 @@
 from pepperstep.errors import Failure
 from pepperstep.ports import PeerNetwork, Timers
 
-__all__ = ["Keepers"]
+__all__ = ["KeyOwners"]
 
 # Time for which a keeper that didn't answer is asked nothing, in seconds: the first
 # time, as it may just be connecting, and until it answers again.
@@ -21,7 +21,7 @@
 _REST_SECONDS = 2.0
 
 
-class Keepers:
+class KeyOwners:
     """The keepers as the host `name` knows them, itself perhaps among them.
 
     `names` gives their addresses among hosts, the same ones on all hosts.
--- a/src/pepperstep/relay/permits.py
+++ b/src/pepperstep/relay/permits.py
@@ -16,11 +16,11 @@
 
 import trio
 
-from pepperstep.coordination import StatedLimit, UpstreamBook, UpstreamKey
+from pepperstep.coordination import StatedLimit, UpstreamCatalog, UpstreamKey
 from pepperstep.ports import PeerNetwork, Timers
 from pepperstep.proto import coordination_pb2 as pb
 from pepperstep.relay.backoff import Backoff
-from pepperstep.relay.keepers import Keepers
+from pepperstep.relay.keepers import KeyOwners
 
 __all__ = ["Permits"]
 
@@ -85,15 +85,15 @@
 
     def __init__(
         self,
-        book: UpstreamBook,
+        catalog: UpstreamCatalog,
         backoff: Backoff,
-        keepers: Keepers,
+        keepers: KeyOwners,
         network: PeerNetwork,
         host_count: Callable[[], int],
         timers: Timers,
         rng: random.Random,
     ):
-        self._book = book
+        self._catalog = catalog
         self._backoff = backoff
         self._keepers = keepers
         self._host_count = host_count
@@ -110,7 +110,7 @@
 
     async def take(self, upstream: UpstreamKey) -> bool:
         """Take a permit for one request, or leave the upstream alone for a while."""
-        limit = self._book.limit_of(upstream)
+        limit = self._catalog.limit_of(upstream)
         if limit is None:
             return True
         asked = self._keepers.keeper_of(upstream[0]) or ""
@@ -166,14 +166,14 @@
         if reply is None:
             return None
         known = StatedLimit.from_message(reply.limit, self._now())
-        self._book.note_limit(upstream, known, keeper)
+        self._catalog.record_limit(upstream, known, keeper)
         return reply.wait
 
     async def _on_claim(self, message: pb.PermitClaim, sender: str) -> pb.PermitReply:
         upstream = (message.upstream, message.incarnation)
         limit = StatedLimit.from_message(message.limit, self._now())
-        self._book.note_limit(upstream, limit, sender)
-        latest = self._book.latest_limit(upstream) or limit
+        self._catalog.record_limit(upstream, limit, sender)
+        latest = self._catalog.latest_limit(upstream) or limit
         wait = 0.0 if latest.rate is None else self._grant(upstream, latest)
         return pb.PermitReply(wait=wait, limit=latest.to_message(self._now()))
 
@@ -182,7 +182,7 @@
     ) -> pb.PermitsGrantedReply:
         upstream = (message.upstream, message.incarnation)
         limit = StatedLimit.from_message(message.limit, self._now())
-        self._book.note_limit(upstream, limit, sender)
+        self._catalog.record_limit(upstream, limit, sender)
         if limit.rate is not None:
             rate = max(limit.rate, _LEAST_RATE)
             bucket = self._bucket(upstream)
@@ -190,7 +190,7 @@
         return pb.PermitsGrantedReply()
 
     def _tell(self, nursery: trio.Nursery, upstream: UpstreamKey, count: int) -> None:
-        limit = self._book.limit_of(upstream)
+        limit = self._catalog.limit_of(upstream)
         if limit is None:
             return
         name, incarnation = upstream
--- a/src/pepperstep/relay/pools.py
+++ b/src/pepperstep/relay/pools.py
@@ -96,7 +96,7 @@
         if pool is not None and seconds > 0:
             pool.keep_seconds = _USED_PART * seconds
 
-    def drop(self, upstream: UpstreamKey) -> None:
+    def close_idle(self, upstream: UpstreamKey) -> None:
         """Close all idle connections to an upstream."""
         pool = self._pools.get(upstream)
         if pool is None:
@@ -106,7 +106,7 @@
         if not pool.in_use:
             del self._pools[upstream]
 
-    def cut(self, upstream: UpstreamKey) -> None:
+    def close_all(self, upstream: UpstreamKey) -> None:
         """Close all connections to an upstream that has ended.
 
         What waits for its answers learns so at once that none will come.
@@ -115,7 +115,7 @@
         if pool is not None:
             for connection in list(pool.busy):
                 connection.close()
-        self.drop(upstream)
+        self.close_idle(upstream)
 
     def close_expired(self) -> None:
         """Close connections that wait longer than they may be used."""
--- a/src/pepperstep/relay/prompts.py
+++ b/src/pepperstep/relay/prompts.py
@@ -12,7 +12,7 @@
 from pepperstep.coordination import UpstreamKey
 from pepperstep.ports.relaying import PromptPart
 
-__all__ = ["PromptMemory", "ReadingSpeed"]
+__all__ = ["PrefillTracker", "ReadingSpeed"]
 
 # Parts that are remembered for each engine. With engines of 350,000 tokens and
 # parts of 2,000, as many as an engine holds with some to spare.
@@ -43,7 +43,7 @@
     unread: int = 0
 
 
-class PromptMemory:
+class PrefillTracker:
     """Engines by the upstream's key."""
 
     def __init__(self, now: Callable[[], float]):
--- a/src/pepperstep/relay/quota_claims.py
+++ b/src/pepperstep/relay/quota_claims.py
@@ -10,7 +10,7 @@
 
 from pepperstep.ports import PeerNetwork
 from pepperstep.proto import coordination_pb2 as pb
-from pepperstep.relay.keepers import Keepers
+from pepperstep.relay.keepers import KeyOwners
 from pepperstep.relay.quotas import Admission, Quotas
 
 __all__ = ["QuotaClaims"]
@@ -22,7 +22,7 @@
 class QuotaClaims:
     """Claims of this host, and its grants to others."""
 
-    def __init__(self, keepers: Keepers, network: PeerNetwork, quotas: Quotas):
+    def __init__(self, keepers: KeyOwners, network: PeerNetwork, quotas: Quotas):
         self._keepers = keepers
         self._quotas = quotas
         network.handle(pb.QuotaClaim, self._on_claim)
--- a/src/pepperstep/relay/quotas.py
+++ b/src/pepperstep/relay/quotas.py
@@ -153,7 +153,7 @@
             if workspace.quota is not None and workspace.quota.rate > 0:
                 self._bucket(workspace.name, self._widen(workspace.quota))
 
-    def note_restart(self) -> None:
+    def refill_after_restart(self) -> None:
         """Take in that all hosts have started anew, and none has spent meanwhile."""
         for bucket in self._buckets.values():
             quota = bucket.quota
@@ -163,7 +163,7 @@
             bucket.own_level = self._own_burst(quota)
 
     @property
-    def is_pressed(self) -> bool:
+    def has_active_workspace(self) -> bool:
         """Whether any workspace has spent a good part of its burst."""
         for bucket in self._buckets.values():
             self._fill(bucket)
@@ -235,7 +235,7 @@
         """Return all that this host has admitted, by workspace."""
         return {name: each.admitted for name, each in self._buckets.items()}
 
-    def note_elsewhere(self, workspace: str, total: int) -> None:
+    def record_spent_elsewhere(self, workspace: str, total: int) -> None:
         """Take in what all other hosts have admitted since any earlier time."""
         bucket = self._buckets.get(workspace)
         if bucket is None:
--- a/src/pepperstep/relay/journal.py
+++ b/src/pepperstep/relay/recorder.py
@@ -2,7 +2,7 @@
 
 from absl import logging
 
-from pepperstep.coordination import TableStore, UpstreamBook
+from pepperstep.coordination import TableStore, UpstreamCatalog
 from pepperstep.errors import Execution, Failure
 from pepperstep.observability.decisions import (
     QuotaExceeded,
@@ -20,7 +20,7 @@
 from pepperstep.relay.choice import Choice
 from pepperstep.relay.quotas import Admission, QuotaState
 
-__all__ = ["RelayJournal"]
+__all__ = ["RelayRecorder"]
 
 _NO_CLASS = "none"
 # Characters of a request's target in a line: routes' hosts and prefixes are shorter,
@@ -28,19 +28,19 @@
 _MAX_TARGET = 120
 
 
-class RelayJournal:
+class RelayRecorder:
     """Events and metrics of one host's relay."""
 
     def __init__(
         self,
         metrics: RelayMetrics,
         tables: TableStore,
-        book: UpstreamBook,
+        catalog: UpstreamCatalog,
         timers: Timers,
     ):
         self._metrics = metrics
         self._tables = tables
-        self._book = book
+        self._catalog = catalog
         self._timers = timers
 
     def note_chosen(self, attempt: Attempt, choice: Choice) -> None:
@@ -51,7 +51,7 @@
             service=attempt.service.name,
             upstream=choice.upstream.id,
             announcement=choice.upstream.sequence,
-            upstreams_version=self._book.version,
+            upstreams_version=self._catalog.version,
             routes_version=self._tables.current.version,
             candidates=choice.candidates,
             missing_tokens=choice.missing,
@@ -155,7 +155,7 @@
         logging.info("relay: %s", event)
 
     def _count_upstreams(self, attempt: Attempt) -> int:
-        return len(self._book.working(attempt.service.name))
+        return len(self._catalog.working(attempt.service.name))
 
     def _age(self, exchange: Exchange) -> int:
         return round(1000 * (self._timers.now() - exchange.arrived_at))
--- a/src/pepperstep/relay/relay.py
+++ b/src/pepperstep/relay/relay.py
@@ -4,19 +4,19 @@
 from collections.abc import Callable
 from functools import partial
 
-from pepperstep.coordination import TableStore, UpstreamBook
+from pepperstep.coordination import TableStore, UpstreamCatalog
 from pepperstep.entities.routes import Route, Workspace
 from pepperstep.errors import Code, Execution, Failure
 from pepperstep.ports import Timers
 from pepperstep.ports.exchange import CallerGone, Exchange
 from pepperstep.ports.relaying import RelayWire, RequestFacts
-from pepperstep.relay.attempt import Attempt, Attempts, Outcome
+from pepperstep.relay.attempt import Attempt, AttemptRunner, Outcome
 from pepperstep.relay.budget import RetryBudget
 from pepperstep.relay.choice import Choice, Chooser
-from pepperstep.relay.journal import RelayJournal
 from pepperstep.relay.permits import Permits
 from pepperstep.relay.quota_claims import QuotaClaims
 from pepperstep.relay.quotas import Quotas
+from pepperstep.relay.recorder import RelayRecorder
 from pepperstep.tasks import run_beside
 
 __all__ = ["Relay"]
@@ -48,28 +48,28 @@
         self,
         wire: RelayWire,
         tables: TableStore,
-        book: UpstreamBook,
+        catalog: UpstreamCatalog,
         chooser: Chooser,
         permits: Permits,
-        attempts: Attempts,
+        attempts: AttemptRunner,
         quotas: Quotas,
         claims: QuotaClaims,
         budget: RetryBudget,
-        journal: RelayJournal,
+        recorder: RelayRecorder,
         timers: Timers,
         rng: random.Random,
         takes_streams: Callable[[], bool],
     ):
         self._wire = wire
         self._tables = tables
-        self._book = book
+        self._catalog = catalog
         self._chooser = chooser
         self._permits = permits
         self._attempts = attempts
         self._quotas = quotas
         self._claims = claims
         self._budget = budget
-        self._journal = journal
+        self._journal = recorder
         self._timers = timers
         self._rng = rng
         self._takes_streams = takes_streams
@@ -110,7 +110,7 @@
         """Return an upstream that is announced soon, None if there is none."""
         with self._timers.move_on_after(_PATIENCE_SECONDS):
             while True:
-                await self._book.wait_change()
+                await self._catalog.wait_change()
                 choice = await self._choose(attempt)
                 if choice is not None:
                     return choice
@@ -185,7 +185,7 @@
         with self._timers.move_on_after(rest) as scope:
 
             async def cancel_when_gone() -> None:
-                await attempt.exchange.wait_gone()
+                await attempt.exchange.wait_disconnected()
                 scope.cancel()
 
             await run_beside(cancel_when_gone, partial(self._try_all, attempt))
--- a/src/pepperstep/relay/shared_load.py
+++ b/src/pepperstep/relay/shared_load.py
@@ -19,7 +19,7 @@
 from pepperstep.coordination import UpstreamKey
 from pepperstep.ports import PeerNetwork, Timers
 from pepperstep.proto import coordination_pb2 as pb
-from pepperstep.relay.keepers import Keepers
+from pepperstep.relay.keepers import KeyOwners
 
 __all__ = ["TOLD_TOKENS", "SharedLoad", "UpstreamWork"]
 
@@ -75,7 +75,7 @@
 
     def __init__(
         self,
-        keepers: Keepers,
+        keepers: KeyOwners,
         network: PeerNetwork,
         timers: Timers,
         own: Callable[[UpstreamKey], UpstreamWork],
@@ -111,7 +111,7 @@
                 nursery.start_soon(ask_one, upstream)
         return found
 
-    def note_change(self, upstream: UpstreamKey, unread: int) -> None:
+    def report_unread(self, upstream: UpstreamKey, unread: int) -> None:
         """Take in that this host's unread tokens at an upstream have changed."""
         if abs(unread - self._last.get(upstream, 0)) >= TOLD_TOKENS:
             self._changed.add(upstream)
--- a/src/pepperstep/relay/signals.py
+++ b/src/pepperstep/relay/signals.py
@@ -12,7 +12,7 @@
 from pepperstep.coordination import (
     Announcement,
     StatedLimit,
-    UpstreamBook,
+    UpstreamCatalog,
     UpstreamKey,
 )
 from pepperstep.errors import Failure
@@ -36,13 +36,13 @@
 
     def __init__(
         self,
-        book: UpstreamBook,
+        catalog: UpstreamCatalog,
         backoff: Backoff,
         peers: PeerNetwork,
         timers: Timers,
         control_hosts: Callable[[], list[str]],
     ):
-        self._book = book
+        self._catalog = catalog
         self._backoff = backoff
         self._peers = peers
         self._timers = timers
@@ -59,13 +59,13 @@
             return
         if facts.retry_after and status in _TURNED_AWAY:
             self._backoff.hold(upstream.key, facts.retry_after, "retry after")
-        if facts.is_leaving and self._book.note_leaving(upstream.key):
+        if facts.is_leaving and self._catalog.mark_leaving(upstream.key):
             self._log_leaving(upstream, facts)
             self._tell_soon(upstream.key)
         if self._states_no_limit(upstream.key, status, facts, begun_at):
             return
         limit = StatedLimit(facts.rate_limit, self._timers.now())
-        if self._book.note_limit(upstream.key, limit):
+        if self._catalog.record_limit(upstream.key, limit):
             self._tell_soon(upstream.key)
 
     async def run(self) -> None:
@@ -83,7 +83,7 @@
             upstream=upstream.id,
             incarnation=upstream.incarnation,
             service=upstream.service,
-            upstreams_version=self._book.version,
+            upstreams_version=self._catalog.version,
         )
         logging.info("signals: %s", event)
 
@@ -101,7 +101,7 @@
         """
         if facts.rate_limit is not None:
             return False
-        known = self._book.limit_of(upstream)
+        known = self._catalog.limit_of(upstream)
         if known is None or status not in _SUCCESSES:
             return True
         return begun_at <= known.stated_at
@@ -122,10 +122,10 @@
     def _make_notice(self, upstream: UpstreamKey) -> pb.AnswerNotice:
         name, incarnation = upstream
         notice = pb.AnswerNotice(upstream=name, incarnation=incarnation)
-        known = self._book.get(name)
+        known = self._catalog.get(name)
         if known is not None and known.key == upstream:
             notice.is_leaving = not known.takes_work
-        limit = self._book.latest_limit(upstream)
+        limit = self._catalog.latest_limit(upstream)
         if limit is not None:
             notice.limit.CopyFrom(limit.to_message(self._timers.now()))
         return notice
--- a/src/pepperstep/requests/__init__.py
+++ b/src/pepperstep/requests/__init__.py
@@ -1,8 +1,8 @@
 """Requests that survive: acceptance, attempts, takeover and answers."""
 
 from pepperstep.requests.links import LINK_MACHINE, LinkMachine
-from pepperstep.requests.mover import MoveSettings, Notice
-from pepperstep.requests.reader import Part
+from pepperstep.requests.mover import MoveSettings, TerminationNotice
+from pepperstep.requests.reader import AnswerPart
 from pepperstep.requests.recovery import Recovery
 from pepperstep.requests.run import Run
 from pepperstep.requests.service import RequestService
@@ -11,8 +11,8 @@
     "LINK_MACHINE",
     "LinkMachine",
     "MoveSettings",
-    "Notice",
-    "Part",
+    "TerminationNotice",
+    "AnswerPart",
     "Recovery",
     "RequestService",
     "Run",
--- a/src/pepperstep/requests/answer_check.py
+++ b/src/pepperstep/requests/answer_check.py
@@ -33,7 +33,7 @@
         if chunk.position == due:
             return chunk.tokens
         if chunk.position > due:
-            self._recorder.note_chunk_fault(ChunkFault.GAP)
+            self._recorder.record_chunk_fault(ChunkFault.GAP)
             raise UpstreamLost(f"Chunk at {chunk.position} where {due} was due.")
         return self._drop_known(chunk, due - chunk.position)
 
@@ -42,11 +42,11 @@
         self._check_owner(mark.attempt_id)
         due = len(self._tokens)
         if mark.count != due:
-            self._recorder.note_chunk_fault(ChunkFault.GAP)
+            self._recorder.record_chunk_fault(ChunkFault.GAP)
             raise UpstreamLost(f"End mark counts {mark.count}, not {due}.")
 
     def _drop_known(self, chunk: TokenChunk, known: int) -> tuple[str, ...]:
-        self._recorder.note_chunk_fault(ChunkFault.DOUBLED)
+        self._recorder.record_chunk_fault(ChunkFault.DOUBLED)
         start = chunk.position
         repeated = chunk.tokens[:known]
         if list(repeated) != self._tokens[start : start + len(repeated)]:
@@ -56,7 +56,7 @@
     def _check_owner(self, attempt_id: str) -> None:
         if attempt_id == self._attempt_id:
             return
-        self._recorder.note_chunk_fault(self._fault_of(attempt_id))
+        self._recorder.record_chunk_fault(self._fault_of(attempt_id))
         raise UpstreamLost(f"Answer of {attempt_id} came to {self._attempt_id}.")
 
     def _fault_of(self, attempt_id: str) -> ChunkFault:
--- a/src/pepperstep/requests/spread.py
+++ b/src/pepperstep/requests/broadcast.py
@@ -12,7 +12,7 @@
 from pepperstep.ports import PeerNetwork, Timers
 from pepperstep.ports.directory import Directory
 
-__all__ = ["Spread"]
+__all__ = ["Broadcast"]
 
 _RESEND_SECONDS = 0.25
 _CALL_SECONDS = 0.5
@@ -33,7 +33,7 @@
     known_by: set[str] = field(default_factory=set)
 
 
-class Spread(Generic[T]):
+class Broadcast(Generic[T]):
     """Items by id, of which all entry hosts learn.
 
     `build` makes the message that carries some items, or that asks for all;
--- a/src/pepperstep/requests/driver.py
+++ b/src/pepperstep/requests/driver.py
@@ -139,7 +139,7 @@
         while True:
             asked_at = self._timers.now()
             placement = await self._placer.place(run, course)
-            self._recorder.note_queued(
+            self._recorder.record_queueing(
                 run.request.workspace,
                 run.request.priority,
                 self._timers.now() - asked_at,
@@ -147,7 +147,7 @@
             upstream = placement.upstream
             course.excluded.add(upstream.name)
             if course.cause is not None:
-                self._recorder.note_retry(_RETRIES[course.cause])
+                self._recorder.record_retry(_RETRIES[course.cause])
             outcome = await self._try(run, placement, course)
             if outcome is not None:
                 return outcome
@@ -183,10 +183,10 @@
                 try:
                     return await self._attempt(run, placement, course)
                 except UpstreamRefused as error:
-                    placement.note_refused(error.retry_after)
+                    placement.record_refusal(error.retry_after)
                     raise
                 except UpstreamLost:
-                    placement.note_lost()
+                    placement.record_loss()
                     raise
         except (UpstreamFault, AttemptStopped) as error:
             self._log(run, placement, error)
@@ -263,7 +263,7 @@
                     if isinstance(chunk, EndMark):
                         check.check_end(chunk)
                         mark = chunk
-                        placement.note_answered(mark)
+                        placement.record_answer(mark)
                         return Outcome(finish=mark.finish)
                     active.heard_at = self._timers.now()
                     self._take(active, check, chunk, placement, course)
@@ -285,7 +285,7 @@
             return
         is_first = not run.tokens
         run.tokens.extend(tokens)
-        placement.note_tokens(len(tokens))
+        placement.record_tokens(len(tokens))
         self._journal.mark(run, is_urgent=is_first)
         if not course.is_suspect or course.is_strict:
             return
@@ -310,7 +310,7 @@
         elif len(active.run.tokens) > active.start and not order.imported_attempt:
             tokens = count_prompt_tokens(active.run.request) + active.start
         if tokens:
-            self._recorder.note_recomputed(_RECOMPUTATIONS[cause], tokens)
+            self._recorder.record_recomputed(_RECOMPUTATIONS[cause], tokens)
 
     async def _recover(
         self, run: Run, upstream: Upstream, course: Course, start: int
--- a/src/pepperstep/requests/mover.py
+++ b/src/pepperstep/requests/mover.py
@@ -15,6 +15,7 @@
 from pepperstep.ports.upstreams import UpstreamClient, UpstreamFault
 from pepperstep.proto import moves_pb2
 from pepperstep.requests.attempts import ActiveAttempt, Attempts, Cause, Resumption
+from pepperstep.requests.broadcast import Broadcast
 from pepperstep.requests.moves import (
     POLICIES,
     Leaver,
@@ -23,10 +24,9 @@
     MoveTarget,
     MovingRequest,
 )
-from pepperstep.requests.spread import Spread
 from pepperstep.routing import UpstreamView
 
-__all__ = ["MoveSettings", "Moves", "Notice"]
+__all__ = ["MoveSettings", "Moves", "TerminationNotice"]
 
 _CHARACTERS_PER_TOKEN = 4
 # Notices of a zone come one after another; those within this time are planned
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Notice:
+class TerminationNotice:
     """A cloud host, or one upstream, that ends at Unix time `at`."""
 
     id: str
@@ -97,7 +97,9 @@
         # Called with the upstreams that a new notice covers.
         self._on_leaving = on_leaving
         self._policy = POLICIES[settings.policy]
-        self._notices = Spread(host, peers, timers, directory, rng, _pack, self._read)
+        self._notices = Broadcast(
+            host, peers, timers, directory, rng, _pack, self._read
+        )
         # Measured bytes a second by upstream, and bytes a token of KV cache.
         self._rates: dict[str, float] = {}
         self._bytes_per_token = settings.bytes_per_token
@@ -124,18 +126,18 @@
                 if self._has_work():
                     self._wake.set()
 
-    def reclaim(self, notices: Iterable[Notice]) -> None:
+    def add_notices(self, notices: Iterable[TerminationNotice]) -> None:
         """Take notices that this host got, and tell all entry hosts."""
         for notice in notices:
             self._add(notice, is_own=True)
 
-    def note_leaving(self, upstream: Upstream) -> None:
+    def add_leaving_upstream(self, upstream: Upstream) -> None:
         """Take an upstream's own announcement that it leaves."""
         if self._notice_of(upstream) is None:
             at = self._timers.wall() + self._settings.assumed_seconds
             notice_id = f"{upstream.name}/{upstream.epoch}"
-            notice = Notice(notice_id, at, "", upstream.name, upstream.epoch)
-            self.reclaim([notice])
+            notice = TerminationNotice(notice_id, at, "", upstream.name, upstream.epoch)
+            self.add_notices([notice])
 
     def is_leaving(self, upstream: Upstream) -> bool:
         """Whether the upstream will end, or ended, by a reclaim."""
@@ -149,7 +151,7 @@
         """Return the last decision on a request."""
         return self._decisions.get(request_id)
 
-    def _add(self, notice: Notice, is_own: bool) -> None:
+    def _add(self, notice: TerminationNotice, is_own: bool) -> None:
         until = notice.at + _KEEP_SECONDS
         if self._notices.add(notice.id, notice, until, is_own):
             name = notice.host or notice.upstream
@@ -160,7 +162,7 @@
                 self._on_leaving(covered)
             self._wake.set()
 
-    def _notice_of(self, upstream: Upstream) -> Notice | None:
+    def _notice_of(self, upstream: Upstream) -> TerminationNotice | None:
         """Return the notice that ends first; a later one doesn't take it back."""
         notices = [n for n in self._notices.items() if n.covers(upstream)]
         return min(notices, key=lambda notice: notice.at, default=None)
@@ -173,7 +175,9 @@
 
     def _read(self, message: Message) -> None:
         for each in message.notices:
-            notice = Notice(each.id, each.at, each.host, each.upstream, each.epoch)
+            notice = TerminationNotice(
+                each.id, each.at, each.host, each.upstream, each.epoch
+            )
             self._add(notice, is_own=False)
 
     def _has_work(self) -> bool:
@@ -308,7 +312,9 @@
     return len(request.prompt) // _CHARACTERS_PER_TOKEN
 
 
-def _pack(notices: Iterable[Notice], is_pull: bool) -> moves_pb2.ReclaimNotices:
+def _pack(
+    notices: Iterable[TerminationNotice], is_pull: bool
+) -> moves_pb2.ReclaimNotices:
     records = [
         moves_pb2.AnnouncedReclaim(
             id=notice.id,
--- a/src/pepperstep/requests/placing.py
+++ b/src/pepperstep/requests/placing.py
@@ -116,7 +116,7 @@
             placement = await self._acquire(run, course, [upstream.name])
             if placement.upstream.name == upstream.name:
                 return placement
-            placement.give_back()
+            placement.release()
             self._guard.release(run, upstream)
             await self._timers.sleep(_POLL_SECONDS)
 
@@ -131,9 +131,9 @@
                         return placement
                     course.follow(entry)
             except BaseException:
-                placement.give_back()
+                placement.release()
                 raise
-            placement.give_back()
+            placement.release()
             if course.is_guided:
                 return None
             await self._timers.sleep(_POLL_SECONDS)
--- a/src/pepperstep/requests/reader.py
+++ b/src/pepperstep/requests/reader.py
@@ -9,10 +9,10 @@
 from pepperstep.ports import PeerNetwork, Timers
 from pepperstep.proto import journal_pb2
 from pepperstep.requests.finder import Finder, Whereabouts
-from pepperstep.requests.remote import Part, RemoteReads
+from pepperstep.requests.remote import AnswerPart, RemoteReads
 from pepperstep.requests.run import Run
 
-__all__ = ["Part", "Reader"]
+__all__ = ["AnswerPart", "Reader"]
 
 _WAIT_SECONDS = 1.0
 _RETRY_SECONDS = 0.1
@@ -43,7 +43,7 @@
 
     async def read(
         self, request_id: str, workspace: str, position: int
-    ) -> AsyncIterator[Part]:
+    ) -> AsyncIterator[AnswerPart]:
         """Yield the parts from `position` on; the last one has the outcome.
 
         Raise `Failure` with `UNKNOWN_REQUEST` if no host knows the request, and
@@ -65,7 +65,9 @@
             if part.outcome is not None:
                 return
 
-    async def _read_owned(self, run: Run, workspace: str, position: int) -> Part | None:
+    async def _read_owned(
+        self, run: Run, workspace: str, position: int
+    ) -> AnswerPart | None:
         """Return what is new, None if the run is lost or nothing came in time."""
         if run.request.workspace != workspace:
             raise _unknown(run.id)
@@ -87,7 +89,7 @@
 
     async def _read_remote(
         self, owner: str, request_id: str, workspace: str, position: int
-    ) -> Part | None:
+    ) -> AnswerPart | None:
         """Return what is new at the owner, None if it isn't the owner any more."""
         read = journal_pb2.ReadAnswer(
             request_id=request_id, position=position, workspace=workspace
@@ -149,9 +151,9 @@
     return run.released > position or run.released_outcome is not None
 
 
-def _part_of(run: Run, position: int) -> Part:
+def _part_of(run: Run, position: int) -> AnswerPart:
     tokens = run.tokens[position : run.released]
-    return Part(position, tokens, run.released_outcome)
+    return AnswerPart(position, tokens, run.released_outcome)
 
 
 def _not_found(request_id: str, whereabouts: Whereabouts) -> Failure:
--- a/src/pepperstep/requests/remote.py
+++ b/src/pepperstep/requests/remote.py
@@ -10,7 +10,7 @@
 from pepperstep.ports import PeerNetwork, Timers
 from pepperstep.proto import journal_pb2
 
-__all__ = ["Part", "RemoteReads"]
+__all__ = ["AnswerPart", "RemoteReads"]
 
 _CALL_SECONDS = 1.0
 # Time between two questions to one owner. Waiting at the owner in place of
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Part:
+class AnswerPart:
     """Tokens from `position` on, and the outcome behind the last one."""
 
     position: int
@@ -33,7 +33,7 @@
 
     read: journal_pb2.ReadAnswer
     done: trio.Event = field(default_factory=trio.Event)
-    part: Part | None = None
+    part: AnswerPart | None = None
 
 
 class RemoteReads:
@@ -49,7 +49,7 @@
         """Ask owners in tasks of `nursery`."""
         self._nursery = nursery
 
-    async def read(self, owner: str, read: journal_pb2.ReadAnswer) -> Part | None:
+    async def read(self, owner: str, read: journal_pb2.ReadAnswer) -> AnswerPart | None:
         """Return what is new at `owner`, None if it isn't the owner any more."""
         wait = _Wait(read)
         is_first = owner not in self._waits
@@ -85,8 +85,8 @@
                 wait.done.set()
 
 
-def _part_of(part: journal_pb2.AnswerPart) -> Part:
+def _part_of(part: journal_pb2.AnswerPart) -> AnswerPart:
     outcome = None
     if part.outcome:
         outcome = msgspec.json.decode(part.outcome, type=Outcome)
-    return Part(part.position, list(part.tokens), outcome)
+    return AnswerPart(part.position, list(part.tokens), outcome)
--- a/src/pepperstep/requests/service.py
+++ b/src/pepperstep/requests/service.py
@@ -22,7 +22,7 @@
 from pepperstep.requests.journal import Journal
 from pepperstep.requests.keys import Keys
 from pepperstep.requests.links import LinkDecisions, LinkKey, back_link, link_key
-from pepperstep.requests.reader import Part, Reader
+from pepperstep.requests.reader import AnswerPart, Reader
 from pepperstep.requests.recovery import Recovery
 from pepperstep.requests.remote import RemoteReads
 from pepperstep.requests.run import Run
@@ -73,7 +73,7 @@
         upstreams: UpstreamClient,
         *,
         is_single: bool = False,
-        resume_grace: float = 10.0,
+        resume_grace_seconds: float = 10.0,
         outcome_seconds: float = 600.0,
         claims: ClaimBook | None = None,
         recorder: Recorder | None = None,
@@ -87,7 +87,7 @@
         self._directory = directory
         self._router = router
         self._explanations = explanations
-        self._resume_grace = resume_grace
+        self._resume_grace = resume_grace_seconds
         self._outcome_seconds = outcome_seconds
         self._claims = claims or NoClaims()
         self._owned: dict[str, Run] = {}
@@ -172,7 +172,7 @@
 
     def read(
         self, request_id: str, workspace: str, position: int = 0
-    ) -> AsyncIterator[Part]:
+    ) -> AsyncIterator[AnswerPart]:
         """Yield the answer's parts from token `position` on (see `Reader`)."""
         return self._reader.read(request_id, workspace, position)
 
--- a/src/pepperstep/requests/verdicts.py
+++ b/src/pepperstep/requests/verdicts.py
@@ -17,11 +17,11 @@
 from pepperstep.ports import PeerNetwork, Timers
 from pepperstep.ports.directory import Directory
 from pepperstep.proto import verdicts_pb2
+from pepperstep.requests.broadcast import Broadcast
 from pepperstep.requests.guards import Entry, Permission
 from pepperstep.requests.journal import rank_hosts
 from pepperstep.requests.probes import Diagnosis
 from pepperstep.requests.run import Run
-from pepperstep.requests.spread import Spread
 from pepperstep.requests.suspects import Suspects, content_of, upstream_key
 
 __all__ = ["CrashGuard"]
@@ -57,7 +57,9 @@
         self._timers = timers
         self._directory = directory
         self._suspects = Suspects(directory.is_gone)
-        self._verdicts = Spread(host, peers, timers, directory, rng, _pack, self._read)
+        self._verdicts = Broadcast(
+            host, peers, timers, directory, rng, _pack, self._read
+        )
         # Requests of which the next host took note as well.
         self._noted: set[str] = set()
         # Upstreams that runs of this host hold, by request id.
--- a/src/pepperstep/rollouts/director.py
+++ b/src/pepperstep/rollouts/director.py
@@ -5,15 +5,15 @@
 
 from absl import logging
 
-from pepperstep.coordination.entry_book import EntryBook
+from pepperstep.coordination.entry_host_catalog import EntryHostCatalog
 from pepperstep.coordination.records import Announcement
-from pepperstep.coordination.scaling import upstreams_for
-from pepperstep.coordination.upstream_book import UpstreamBook
+from pepperstep.coordination.scaling import required_upstreams
+from pepperstep.coordination.upstream_catalog import UpstreamCatalog
 from pepperstep.errors import Code, Failure
 from pepperstep.observability.decisions import RolloutMoved
 from pepperstep.ports import Agreement, PeerNetwork, Timers
 from pepperstep.proto import rollouts_pb2 as pb
-from pepperstep.rollouts.judgement import Verdict, judge
+from pepperstep.rollouts.evaluation import Verdict, judge
 from pepperstep.rollouts.machine import ROLLOUT_MACHINE, RolloutMachine
 from pepperstep.rollouts.outcomes import Outcomes
 from pepperstep.rollouts.plan import ExposureBound, Move, Situation, next_move
@@ -51,8 +51,8 @@
         self,
         agreement: Agreement,
         machine: RolloutMachine,
-        book: UpstreamBook,
-        entries: EntryBook,
+        catalog: UpstreamCatalog,
+        entries: EntryHostCatalog,
         peers: PeerNetwork,
         timers: Timers,
         wall: Callable[[], float],
@@ -61,7 +61,7 @@
     ):
         self._agreement = agreement
         self._machine = machine
-        self._book = book
+        self._catalog = catalog
         self._entries = entries
         self._timers = timers
         self._wall = wall
@@ -162,7 +162,7 @@
         now = self._wall()
         ended = outcomes.of_new().total
         seconds = max(now - rollout.started_at, _RATE_SECONDS)
-        working = self._book.working(rollout.service)
+        working = self._catalog.working(rollout.service)
         new_count = sum(each.software == rollout.to for each in working)
         limit = self._timers.now() - _SILENCE_SECONDS
         in_flight = sum(
@@ -173,7 +173,7 @@
             now=now,
             new_count=new_count,
             old_count=len(working) - new_count,
-            needed=upstreams_for(self._entries.work_of(rollout.service)),
+            needed=required_upstreams(self._entries.work_of(rollout.service)),
             verdict=judge(outcomes, evidence.before) if ended else Verdict(False),
             rate=(ended + outcomes.of_old().total) / seconds,
             outcomes=ended,
@@ -226,7 +226,7 @@
     def _other_versions(self, rollout: Rollout) -> tuple[str, ...]:
         versions = {
             each.software
-            for each in self._book.all()
+            for each in self._catalog.all()
             if each.service == rollout.service
         }
         return tuple(sorted(versions - {rollout.to}))
--- a/src/pepperstep/rollouts/observer.py
+++ b/src/pepperstep/rollouts/observer.py
@@ -80,7 +80,7 @@
         """Tell the judge at once; called when a roll-out has changed."""
         self._wake.set()
 
-    def note_outcome(
+    def record_outcome(
         self,
         rollout: Rollout,
         route: str,
--- a/src/pepperstep/rollouts/plan.py
+++ b/src/pepperstep/rollouts/plan.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 
-from pepperstep.rollouts.judgement import Verdict
+from pepperstep.rollouts.evaluation import Verdict
 from pepperstep.rollouts.records import Rollout, RolloutState
 
 __all__ = ["ExposureBound", "Move", "Situation", "next_move"]
--- a/src/pepperstep/rollouts/versions.py
+++ b/src/pepperstep/rollouts/versions.py
@@ -40,7 +40,7 @@
         """Return the roll-outs that are undecided."""
         return [each for each in self._rollouts.values() if each.is_running]
 
-    def take(self, rollout: Rollout) -> bool:
+    def update(self, rollout: Rollout) -> bool:
         """Take in a roll-out's state and return whether it's newer."""
         known = self._rollouts.get(rollout.service)
         if known is not None and known.index >= rollout.index:
@@ -49,7 +49,7 @@
         self.index = max(self.index, rollout.index)
         return True
 
-    def note_upstream(self, upstream: Announcement) -> None:
+    def observe_upstream(self, upstream: Announcement) -> None:
         """Take in that an upstream of a version is there."""
         versions = self._seen.setdefault(upstream.service, {})
         versions.setdefault(upstream.software, self._now())
--- a/src/pepperstep/routing/feedback.py
+++ b/src/pepperstep/routing/feedback.py
@@ -60,7 +60,7 @@
         _, typical = placement.pool.typical(now)
         self._judge(placement, gap, typical, target, now)
 
-    def note_answered(
+    def record_answer(
         self, placement: "Placement", mark: EndMark | None, now: float
     ) -> None:
         """Note a whole answer; `mark` is None for a plain service's."""
@@ -79,15 +79,15 @@
         if not placement.is_slow:
             self._note_breaker(tracked.breaker, True, now)
 
-    def note_refused(self, placement: "Placement", is_busy: bool, now: float) -> None:
+    def record_refusal(self, placement: "Placement", is_busy: bool, now: float) -> None:
         """Note a refusal, which is no fault if the upstream is only busy."""
         if not is_busy:
-            self.note_lost(placement, now)
+            self.record_loss(placement, now)
             return
         placement.tracked.note_alive(placement.started_at, now)
         self._adapt(placement, 1.0, 0.0, 0.0, now)
 
-    def note_lost(self, placement: "Placement", now: float) -> None:
+    def record_loss(self, placement: "Placement", now: float) -> None:
         """Note an attempt that failed."""
         tracked = placement.tracked
         tracked.note_failed(now)
--- a/src/pepperstep/routing/placement.py
+++ b/src/pepperstep/routing/placement.py
@@ -73,7 +73,7 @@
             self._note_end_without_word(is_whole=error_type is None)
         self._release(self)
 
-    def note_tokens(self, count: int) -> None:
+    def record_tokens(self, count: int) -> None:
         """Note that tokens arrived."""
         now = self._timers.now()
         if not self._tokens:
@@ -90,25 +90,25 @@
             self._gap_started_at = now
             self._gap_tokens = 0
 
-    def note_answered(self, mark: EndMark | None = None) -> None:
+    def record_answer(self, mark: EndMark | None = None) -> None:
         """Note that the answer is whole."""
         self._is_noted = True
-        self._feedback.note_answered(self, mark, self._timers.now())
+        self._feedback.record_answer(self, mark, self._timers.now())
 
-    def note_refused(self, retry_after: float | None) -> None:
+    def record_refusal(self, retry_after: float | None) -> None:
         """Note that the upstream refused the attempt, which didn't run."""
         self._is_noted = True
         is_busy = retry_after is not None
         self.ending = Ending(self.upstream.name, self.upstream.epoch, True, is_busy)
-        self._feedback.note_refused(self, is_busy, self._timers.now())
+        self._feedback.record_refusal(self, is_busy, self._timers.now())
 
-    def note_lost(self) -> None:
+    def record_loss(self) -> None:
         """Note that the connection broke or the answer was damaged."""
         self._is_noted = True
         self.ending = Ending(self.upstream.name, self.upstream.epoch)
-        self._feedback.note_lost(self, self._timers.now())
+        self._feedback.record_loss(self, self._timers.now())
 
-    def give_back(self) -> None:
+    def release(self) -> None:
         """Give back a place that no attempt was started at."""
         self._is_noted = True
         self._release(self)
@@ -128,6 +128,6 @@
         """Tell an answered call of a service from a stalled or cancelled attempt."""
         now = self._timers.now()
         if is_whole:
-            self._feedback.note_answered(self, None, now)
+            self._feedback.record_answer(self, None, now)
         elif now - self._last_token_at > _STALL_SECONDS + 2 * (self.predicted or 0.0):
-            self._feedback.note_lost(self, now)
+            self._feedback.record_loss(self, now)
--- a/tests/api/fake_node.py
+++ b/tests/api/fake_node.py
@@ -29,7 +29,7 @@
 from pepperstep.observability.explanations import Explanations
 from pepperstep.observability.metrics import Metrics
 from pepperstep.observability.views import HostView, StatusView, UpstreamView
-from pepperstep.requests import Part
+from pepperstep.requests import AnswerPart
 
 CALLER_KEY = "caller-key"
 OPERATOR_KEY = "operator-key"
@@ -143,7 +143,7 @@
 
     async def read(
         self, request_id: str, workspace: str, position: int = 0
-    ) -> AsyncGenerator[Part, None]:
+    ) -> AsyncGenerator[AnswerPart, None]:
         """Yield the answer token by token."""
         try:
             found = [each for each in self.submitted if each.id == request_id]
@@ -151,7 +151,7 @@
                 raise Failure(Code.UNKNOWN_REQUEST, "No host knows it.")
             if found[0].kind is RequestKind.SERVICE:
                 answer = ServiceAnswer(201, "text/plain", found[0].body)
-                yield Part(0, [], Outcome(service=answer))
+                yield AnswerPart(0, [], Outcome(service=answer))
                 return
             for index in range(position, len(ANSWER)):
                 await self.timers.sleep(0.1)
@@ -159,8 +159,8 @@
                     await trio.sleep_forever()
                 if self.fails_after == index:
                     raise Failure(Code.UPSTREAM_FAILED, "All is lost.")
-                yield Part(index, [ANSWER[index]], None)
-            yield Part(len(ANSWER), [], self.outcome)
+                yield AnswerPart(index, [ANSWER[index]], None)
+            yield AnswerPart(len(ANSWER), [], self.outcome)
         finally:
             self.reads_closed += 1
 
--- a/tests/configuration/test_distribution.py
+++ b/tests/configuration/test_distribution.py
@@ -48,14 +48,14 @@
             assert cluster.lagging(revision) == ["e5"]
         isolated = cluster.stores["e5"]
         assert (isolated.revision, isolated.is_ready) == (3, True)
-        assert isolated.is_cut_off
+        assert isolated.is_isolated
         assert isolated.staleness > 20 * IN_FORCE_SECONDS
         assert "more-19" in cluster.stores["e1"].current.workspaces
         cluster.network.heal()
         await trio.sleep(IN_FORCE_SECONDS)
         assert cluster.lagging(revision) == []
         await trio.sleep(5.0)
-        assert not isolated.is_cut_off
+        assert not isolated.is_isolated
         assert all(store.staleness < 5.0 for store in cluster.stores.values())
 
 
@@ -141,7 +141,7 @@
         assert (store.revision, store.is_ready) == (3, True)
         assert "desks" in store.current.workspaces
         await trio.sleep(20.0)
-        assert (store.revision, store.is_cut_off) == (3, True)
+        assert (store.revision, store.is_isolated) == (3, True)
         # A lost or damaged disk is no ground to serve something.
         for harm in ("lose", "damage"):
             cluster.stop("c1")
@@ -182,7 +182,7 @@
         revision = await cluster.apply("bantayog", more(BANTAYOG, 1))
         await trio.sleep(IN_FORCE_SECONDS)
         assert cluster.lagging(revision) == ["e0"]
-        assert deaf.is_cut_off and deaf.staleness > 55.0
+        assert deaf.is_isolated and deaf.staleness > 55.0
         cluster.timers["e0"].resume()
         await trio.sleep(0.0)
         assert frozen.staleness > 55.0
--- a/tests/faults/test_orders.py
+++ b/tests/faults/test_orders.py
@@ -124,8 +124,8 @@
     if leader is None:
         return "No host leads."
     machine = leader.node._fleet.machine
-    if machine.open_acts() or not machine.hosts():
-        return f"Open: {machine.open_acts()}."
+    if machine.open_actions() or not machine.hosts():
+        return f"Open: {machine.open_actions()}."
     living = {host.token: host.id for host in _started(scene)}
     recorded = {act.id: act.host_id for act in machine.hosts()}
     if living != recorded:
--- a/tests/fleet/site.py
+++ b/tests/fleet/site.py
@@ -268,7 +268,7 @@
 
     def check_whole(self, hosts: int) -> None:
         """Check that no start, host or order is lost, doubled or left open."""
-        assert not self.machine.open_acts()
+        assert not self.machine.open_actions()
         living = {host.token: host.id for host in self.cloud.living}
         assert living == {act.id: act.host_id for act in self.machine.hosts()}
         assert len(living) == hosts
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -8,7 +8,7 @@
 from pepperstep.configuration import Configuration
 from pepperstep.entities import ModelKey
 from pepperstep.fakes import FakeAgreement
-from pepperstep.fleet import ActKind, CostKey, Event, record_events
+from pepperstep.fleet import ActionKind, CostKey, Event, record_events
 from pepperstep.ports.cloud import CloudHost, HostState, PriceClass
 from pepperstep.ports.upstreams import GenerateOrder, OrderKind
 from tests.fleet.site import KEY, OFFERS, Site, deployment, loads
@@ -268,6 +268,6 @@
         events = site.machine.events.since()
         assert events[-1] == replace(event, sequence=site.machine.events.last)
         assert sum(e.subject == "entry-7" for e in events) == 1
-        starts = [e for e in events if e.kind == ActKind.START]
+        starts = [e for e in events if e.kind == ActionKind.START]
         assert all("replicas wanted for 32 requests" in e.reason for e in starts)
         assert {s.order.kind for s in site.sent} == {OrderKind.LOAD}
--- a/tests/fleet/test_leader_changes.py
+++ b/tests/fleet/test_leader_changes.py
@@ -8,7 +8,7 @@
 
 from pepperstep.errors import Code, Failure
 from pepperstep.fakes import FakeAgreement, FakeTimers
-from pepperstep.fleet import Act, ActKind, FleetTuning, OrderMachine
+from pepperstep.fleet import Action, ActionKind, FleetStateMachine, FleetTuning
 from pepperstep.fleet.record import FleetRecord
 from tests.fleet.site import QUICK, Site, loads
 
@@ -129,7 +129,7 @@
         await old.begin()
         site.lead("control-1")
         await trio.sleep(10)
-        act = Act(id="fleet-x", kind=ActKind.STOP, host_id="host-1")
+        act = Action(id="fleet-x", kind=ActionKind.STOP, host_id="host-1")
         with pytest.raises(Failure) as caught:
             await old.commit(acts=[act])
         assert caught.value.code is Code.FENCED
@@ -155,19 +155,19 @@
         await trio.sleep(60)
         site.check_whole(3)
         assert len(site.cloud.hosts) == 3
-        restored = OrderMachine()
+        restored = FleetStateMachine()
         restored.restore(site.machine.snapshot())
         assert restored.snapshot() == site.machine.snapshot()
         # Half of the log, then a snapshot, then the rest.
-        other = OrderMachine()
+        other = FleetStateMachine()
         entries = [command for name, command in site.log.entries if name == "fleet"]
         for index, command in enumerate(entries):
             if index == len(entries) // 2:
                 data = other.snapshot()
-                other = OrderMachine()
+                other = FleetStateMachine()
                 other.restore(data)
             other.apply(index, command)
         assert other.snapshot() == site.machine.snapshot()
         site.machine.apply(0, b"\xff")
         with pytest.raises(Failure):
-            OrderMachine().restore(b"\xff")
+            FleetStateMachine().restore(b"\xff")
--- a/tests/fleet/test_plan.py
+++ b/tests/fleet/test_plan.py
@@ -9,7 +9,7 @@
 from pepperstep.entities import ModelKey, Role
 from pepperstep.fleet import (
     POLICIES,
-    ActKind,
+    ActionKind,
     Demand,
     DeploymentView,
     EngineView,
@@ -327,7 +327,7 @@
     assert not plan_models([view], 30.0)
     view = replace(view, engines=(both, _engine(2, KEY)))
     orders = [(o.kind, o.engine.name, o.model_key) for o in plan_models([view], 30.0)]
-    assert orders == [(ActKind.UNLOAD, "e1", _OLD)]
+    assert orders == [(ActionKind.UNLOAD, "e1", _OLD)]
     assert not plan_models([replace(view, is_settled=False)], 30.0)
     view = replace(view, is_settled=False, prefill_share=0.5)
     roles = {o.engine.name: o.role for o in plan_models([view], 30.0)}
--- a/tests/fleet/test_replicated_log.py
+++ b/tests/fleet/test_replicated_log.py
@@ -10,7 +10,9 @@
 from tests.fleet.site import QUICK, Site
 
 # Slow, so that an hour takes few messages.
-_LOG = Tuning(heartbeat=2.0, election=8.0, call_timeout=2.0, forward_timeout=6.0)
+_LOG = Tuning(
+    heartbeat_interval=2.0, election_timeout=8.0, call_timeout=2.0, forward_timeout=6.0
+)
 _FLEET = replace(
     QUICK, period=8.0, notice_period=8.0, lease=_LOG.lease, commit_timeout=10.0
 )
--- a/tests/membership/test_hosts.py
+++ b/tests/membership/test_hosts.py
@@ -98,13 +98,13 @@
                 cluster.network.cut("h1", name)
     await cluster.wait_until(lambda: cluster.views("h1") == {DEAD}, 4.0)
     await trio.sleep(60)
-    assert cluster.nodes["h1"].membership.is_cut_off
+    assert cluster.nodes["h1"].membership.is_isolated
     assert {*deaths(cluster)} == {"h1"}
     states = [member.state for member in cluster.nodes["h1"].membership.members()]
     assert states == [ALIVE] * 7
     cluster.network.heal()
     await cluster.wait_until(cluster.all_alive, 5.0)
-    assert not cluster.nodes["h1"].membership.is_cut_off
+    assert not cluster.nodes["h1"].membership.is_isolated
 
 
 @pytest.mark.parametrize("is_paused", [False, True])
--- a/tests/moves/moving_hosts.py
+++ b/tests/moves/moving_hosts.py
@@ -8,7 +8,7 @@
 from pepperstep.entities import Outcome, Request
 from pepperstep.fakes import FakeEngine, FakePeers, FakeTimers, answer_of
 from pepperstep.observability.recorder import NullRecorder, RecomputeCause
-from pepperstep.requests.mover import MoveSettings, Notice
+from pepperstep.requests.mover import MoveSettings, TerminationNotice
 from pepperstep.requests.recovery import Recovery
 from tests.requests.entry_hosts import Hosts
 
@@ -22,7 +22,7 @@
     def __init__(self) -> None:
         self.recomputed: Counter[RecomputeCause] = Counter()
 
-    def note_recomputed(self, cause: RecomputeCause, tokens: int) -> None:
+    def record_recomputed(self, cause: RecomputeCause, tokens: int) -> None:
         """Add tokens."""
         self.recomputed[cause] += tokens
 
@@ -91,7 +91,9 @@
     def reclaim(self, names: list[str], seconds: float, at_host: str = "entry-0"):
         """Give notice of some engines' hosts, which end in `seconds`."""
         at = self.all[at_host].timers.wall() + seconds
-        notices = [Notice(f"n-{name}", at, host=f"host-of-{name}") for name in names]
+        notices = [
+            TerminationNotice(f"n-{name}", at, host=f"host-of-{name}") for name in names
+        ]
         self.recoveries[at_host].moves.reclaim(notices)
         for name in names:
             self._nursery.start_soon(self._end, name, seconds)
--- a/tests/moves/test_guard.py
+++ b/tests/moves/test_guard.py
@@ -16,9 +16,9 @@
     FakeUpstreams,
 )
 from pepperstep.proto import verdicts_pb2
-from pepperstep.requests.mover import Notice
+from pepperstep.requests.broadcast import Broadcast
+from pepperstep.requests.mover import TerminationNotice
 from pepperstep.requests.probes import Health, Probes
-from pepperstep.requests.spread import Spread
 from pepperstep.requests.suspects import Suspects, content_of
 from tests.moves.moving_hosts import MovingHosts
 
@@ -263,7 +263,7 @@
     directory = FakeDirectory(
         [Host(name, name, "", "z", "region", "site") for name in names]
     )
-    spreads: dict[str, Spread] = {}
+    broadcasts: dict[str, Broadcast] = {}
 
     def build(items, is_pull):
         verdicts = [verdicts_pb2.Verdict(content=item) for item in items]
@@ -275,35 +275,35 @@
 
             def read(message, name=name):
                 for verdict in message.verdicts:
-                    spreads[name].add(verdict.content, verdict.content, 4e9, False)
+                    broadcasts[name].add(verdict.content, verdict.content, 4e9, False)
 
             async def handle(message, sender, read=read):
                 read(message)
                 return build([], False)
 
             peers.handle(verdicts_pb2.Verdicts, handle)
-            spreads[name] = Spread(
+            broadcasts[name] = Broadcast(
                 name, peers, FakeTimers(), directory, random.Random(1), build, read
             )
-            nursery.start_soon(spreads[name].run)
+            nursery.start_soon(broadcasts[name].run)
         await trio.sleep(5)
         network.loss = loss
-        spreads["entry-0"].add("c", "c", 4e9)
+        broadcasts["entry-0"].add("c", "c", 4e9)
         if has_origin_ended:
             await trio.sleep(0.01)
             network.detach("entry-0")
             network.isolate("entry-0")
         await trio.sleep(20)
         nursery.cancel_scope.cancel()
-    assert all(spreads[name].items() == ["c"] for name in names)
+    assert all(broadcasts[name].items() == ["c"] for name in names)
 
 
 async def test_view_hides_what_leaves(autojump_clock):
     async with MovingHosts.start(count=2, engines=3) as hosts:
         moves = hosts.recoveries["entry-0"].moves
         at = hosts.wall() + 5
-        moves.reclaim([Notice("n", at, upstream="engine-1")])
-        moves.note_leaving(hosts.engine("engine-2").upstream)
+        moves.reclaim([TerminationNotice("n", at, upstream="engine-1")])
+        moves.add_leaving_upstream(hosts.engine("engine-2").upstream)
         names = [u.name for u in moves.candidates() if u.name.startswith("engine")]
         assert names == ["engine-0"]
 
--- a/tests/relaying/test_acknowledged_leaving.py
+++ b/tests/relaying/test_acknowledged_leaving.py
@@ -79,7 +79,7 @@
                 if host not in self.world.controls:
                     continue
                 if is_end:
-                    await self.world.controls[host].note_gone(name)
+                    await self.world.controls[host].mark_gone(name)
                 else:
                     await self.world.announce(
                         host, name, "plain", sequence=sequence, is_leaving=True
@@ -160,7 +160,7 @@
 
 @pytest.mark.parametrize("entries", ENTRIES)
 @pytest.mark.parametrize("is_end", [False, True])
-async def test_calm_leaving_is_acknowledged_at_once(autojump_clock, entries, is_end):
+async def test_leaving_is_acknowledged_at_once(autojump_clock, entries, is_end):
     async with serving(entries) as scene:
         await trio.sleep(4.0)
         begin = trio.current_time()
@@ -319,7 +319,7 @@
         await trio.sleep(6.0)
 
 
-async def test_late_announcement_brings_nothing_back_after_a_restart(autojump_clock):
+async def test_late_announcement_after_restart_is_ignored(autojump_clock):
     async with serving(5) as scene:
         assert await scene.leave("u", ["c0:1"], is_end=True)
         await scene.restart([*scene.controls, *scene.world.entries], 0.5)
@@ -327,7 +327,7 @@
         await trio.sleep(6.0)
 
 
-async def test_leaving_is_acknowledged_once_all_entry_hosts_have_heard_of_it(
+async def test_leaving_is_acknowledged_once_entry_hosts_applied_it(
     autojump_clock,
 ):
     async with serving(5) as scene:
@@ -340,7 +340,7 @@
 
 
 @pytest.mark.parametrize("incarnation", [None, 5, 6])
-async def test_end_binds_though_its_host_does_not_know_the_upstream(
+async def test_end_of_upstream_unknown_to_control_host_applies(
     autojump_clock, incarnation
 ):
     async with serving(5) as scene:
@@ -350,8 +350,8 @@
         await trio.sleep(1.0)
         scene.world.network.heal()
         host = scene.world.controls["c1:1"]
-        assert host.book.get("v") is None
-        await host.note_gone("v", incarnation)
+        assert host.catalog.get("v") is None
+        await host.mark_gone("v", incarnation)
         scene.upstreams.acknowledged["v"] = trio.current_time()
         await trio.sleep(6.0)
 
@@ -360,7 +360,7 @@
     async with serving(5) as scene:
         await scene.world.announce("c0:1", "u", "plain", incarnation=5)
         await trio.sleep(1.0)
-        await scene.world.controls["c1:1"].note_gone("u", 4)
+        await scene.world.controls["c1:1"].mark_gone("u", 4)
         await trio.sleep(1.0)
         for host in scene.world.entries.values():
-            assert host.book.get("u").takes_work
+            assert host.catalog.get("u").takes_work
