--- a/tests/relaying/test_ordering.py
+++ b/tests/relaying/test_autoscaler.py
@@ -9,9 +9,14 @@
 import trio
 from absl import logging
 
-from pepperstep.coordination import Announcement, ServiceWork, TableStore, UpstreamBook
-from pepperstep.coordination.duty import Duty
-from pepperstep.coordination.ordering import Ordering
+from pepperstep.coordination import (
+    Announcement,
+    ServiceWork,
+    TableStore,
+    UpstreamCatalog,
+)
+from pepperstep.coordination.autoscaler import Autoscaler
+from pepperstep.coordination.leader_lease import LeaderLease
 from pepperstep.coordination.table_updates import Document
 from pepperstep.errors import Code, Failure
 from pepperstep.fakes import FakeTimers
@@ -54,12 +59,12 @@
 class FakePlatform:
     """Starts and stops upstreams as ordered, and takes zones' reclaimable ones."""
 
-    def __init__(self, book: UpstreamBook, nursery: trio.Nursery):
+    def __init__(self, catalog: UpstreamCatalog, nursery: trio.Nursery):
         self.is_dry = False
         # Time, holder and fence of each order.
         self.orders: list[tuple[float, str, int]] = []
         self.most = 0
-        self._book = book
+        self._catalog = catalog
         self._nursery = nursery
         self._wanted: dict[tuple[str, bool], int] = {}
         self._standing: dict[tuple[str, bool], list[str]] = {}
@@ -67,7 +72,7 @@
 
     @property
     def count(self) -> int:
-        return len(self._book.working("model"))
+        return len(self._catalog.working("model"))
 
     def steady_orders(self) -> dict[str, int]:
         """Return the latest order for steady ones of each zone."""
@@ -82,7 +87,7 @@
             raise Failure(Code.OVERLOADED, "None of that kind is to be had.")
         self._wanted[key] = order.count
         while len(standing) > order.count:
-            self._book.note_gone(standing.pop())
+            self._catalog.mark_gone(standing.pop())
         self._nursery.start_soon(self._boot, key)
 
     async def _boot(self, key: tuple[str, bool]) -> None:
@@ -105,12 +110,12 @@
             self._note(name, (zone, True), sequence=2, is_leaving=True)
         await trio.sleep(seconds)
         for name in leaving:
-            self._book.note_gone(name)
+            self._catalog.mark_gone(name)
 
     def _note(self, name: str, key: tuple[str, bool], **facts) -> None:
         zone, is_reclaimable = key
         facts = {"sequence": 1, "is_reclaimable": is_reclaimable} | facts
-        self._book.note(Announcement(name, "model", f"{name}:80", zone, **facts))
+        self._catalog.record(Announcement(name, "model", f"{name}:80", zone, **facts))
 
 
 class World:
@@ -119,26 +124,26 @@
     def __init__(self, nursery: trio.Nursery):
         self._nursery = nursery
         self.timers = FakeTimers(random.Random(0))
-        self.book = UpstreamBook(self.timers.now)
-        self.platform = FakePlatform(self.book, nursery)
+        self.catalog = UpstreamCatalog(self.timers.now)
+        self.platform = FakePlatform(self.catalog, nursery)
         self.desk = FakeDesk()
         self.agreement = FakeAgreementState()
         tables = TableStore(TableDecoder().decode_in_steps)
         services = [{"name": "plain"}, {"name": "model", "autoscale": SCALING}]
         data = json.loads(document(1)) | {"services": services}
-        tables.take(Document(1, json.dumps(data).encode()))
-        self.ordering = Ordering(
-            Duty("c0", self.agreement, self.timers, 3.0),
+        tables.install(Document(1, json.dumps(data).encode()))
+        self.autoscaler = Autoscaler(
+            LeaderLease("c0", self.agreement, self.timers, 3.0),
             self.platform,
             tables,
             self.desk,
-            self.book,
+            self.catalog,
             lambda: ZONES,
             self.timers,
         )
         for zone in ZONES:
             self.platform.fill((zone, False), 3)
-        nursery.start_soon(self.ordering.run)
+        nursery.start_soon(self.autoscaler.run)
 
     def reclaim(self, zone: str) -> None:
         """Let the platform take a zone's reclaimable upstreams back."""
@@ -161,17 +166,17 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_reclaimable_ones_take_the_work_over(autojump_clock):
+async def test_reclaimable_upstreams_replace_steady_ones(autojump_clock):
     async with start_world() as world:
         world.desk.load = 20.0
         assert await world.watch(12.0) >= 4
-        kinds = {each.is_reclaimable for each in world.book.working("model")}
+        kinds = {each.is_reclaimable for each in world.catalog.working("model")}
         assert kinds == {True}
 
 
 @pytest.mark.parametrize("is_dry", [False, True])
 @pytest.mark.parametrize("order", ["ab", "bc", "ca"])
-async def test_two_zones_in_a_row_leave_enough(autojump_clock, is_dry, order):
+async def test_capacity_suffices_after_two_zone_losses(autojump_clock, is_dry, order):
     """The next zone is lost 6 s after the first, with the demand of all along."""
     async with start_world() as world:
         world.desk.load = 22.0
@@ -183,7 +188,7 @@
         assert await world.watch(8.0) >= 22 / REQUESTS_EACH
 
 
-async def test_three_zones_in_a_row_are_made_up_for_at_once(autojump_clock):
+async def test_three_zone_losses_are_replaced_at_once(autojump_clock):
     """As soon as the last one leaves, all the work is ordered, and not by and by."""
     async with start_world() as world:
         world.desk.load = 40.0
@@ -195,7 +200,7 @@
         assert world.platform.count >= 40 / REQUESTS_EACH
 
 
-async def test_mean_of_a_wave_counts_when_a_zone_is_dry(autojump_clock):
+async def test_steady_follow_mean_while_zone_is_exhausted(autojump_clock):
     """Work comes in waves, and the next zone may go in the next one.
 
     Reclaimable ones are there for the waves' peaks, and steady ones make up for the
@@ -215,7 +220,7 @@
         assert await world.watch(6.0) >= (4 * 22 + 6 * 8) / 10 / REQUESTS_EACH
 
 
-async def test_steady_ones_stay_until_reclaimable_ones_stand_again(autojump_clock):
+async def test_steady_stay_until_reclaimable_run_again(autojump_clock):
     """When zones give out some again, the work may just be low for a moment."""
     async with start_world() as world:
         world.desk.load = 40.0
@@ -232,7 +237,7 @@
             assert await world.watch(1.0) >= int(mean / REQUESTS_EACH)
 
 
-async def test_start_of_a_system_gives_back_at_once_what_nobody_asks_for(
+async def test_unused_upstreams_are_released_at_system_start(
     autojump_clock,
 ):
     """Nine upstreams at the full price stand at the start; one a zone stays."""
@@ -240,28 +245,28 @@
         await trio.sleep(2.0)
         assert world.platform.count == len(ZONES)
         await trio.sleep(8.0)
-        kinds = [each.is_reclaimable for each in world.book.working("model")]
+        kinds = [each.is_reclaimable for each in world.catalog.working("model")]
         assert kinds and all(kinds)
 
 
-async def test_upstreams_that_are_not_heard_of_yet_are_not_all_given_back(
+async def test_unannounced_upstreams_are_not_all_released(
     autojump_clock,
 ):
     async with start_world() as world:
-        heard_late = world.book.working("model")[3:]
+        heard_late = world.catalog.working("model")[3:]
         for each in heard_late:
-            world.book.note_gone(each.id)
+            world.catalog.mark_gone(each.id)
         await trio.sleep(2.0)
         assert world.platform.steady_orders() in ({"a": 3}, {})
         for each in heard_late:
             later = dataclasses.replace(each, id=f"{each.id}-again")
-            world.book.note(later)
+            world.catalog.record(later)
         await trio.sleep(0.6)
         assert world.platform.steady_orders() == dict.fromkeys(ZONES, 1)
 
 
 @pytest.mark.parametrize("load", [0.0, 5.0])
-async def test_later_holder_or_work_gives_nothing_back_at_once(autojump_clock, load):
+async def test_later_holder_or_demand_delays_release(autojump_clock, load):
     """After a restart, what is asked for may not be known yet."""
     async with start_world() as world:
         world.agreement.term = 1 if load else 2
@@ -270,7 +275,7 @@
         assert world.platform.count == 9
 
 
-async def test_plan_is_logged_with_what_is_needed(autojump_clock, monkeypatch):
+async def test_plan_is_logged_with_demand(autojump_clock, monkeypatch):
     events = []
     monkeypatch.setattr(logging, "info", lambda text, *values: events.extend(values))
     async with start_world() as world:
@@ -299,5 +304,5 @@
         assert first >= 12.0 + 2 / 3 * 3.0
         await trio.sleep(BOOT_SECONDS)
         # Ordered for the peak that this host has seen before it was the holder.
-        reclaimable = [e for e in world.book.working("model") if e.is_reclaimable]
+        reclaimable = [e for e in world.catalog.working("model") if e.is_reclaimable]
         assert len(reclaimable) >= 9
--- a/tests/relaying/test_clock_steps.py
+++ b/tests/relaying/test_clock_steps.py
@@ -13,7 +13,7 @@
     """Return how far each host's true time is off, in seconds."""
     fair = world.timers["c2:1"].wall()
     hosts = [*world.controls.values(), *world.entries.values()]
-    return [host.sync.true_time - fair for host in hosts]
+    return [host.sync.median_time - fair for host in hosts]
 
 
 @pytest.mark.parametrize("jump", [JUMP, -JUMP])
@@ -38,7 +38,7 @@
         world.timers["e0:1"].step_wall(JUMP)
         await trio.sleep(5.0)
         for host in world.entries.values():
-            assert abs(host.sync.true_time - fair.wall()) < 0.1
+            assert abs(host.sync.median_time - fair.wall()) < 0.1
 
 
 @pytest.mark.parametrize("jump", [JUMP, -JUMP])
--- a/tests/relaying/test_coordination.py
+++ b/tests/relaying/test_coordination.py
@@ -4,7 +4,7 @@
 import trio
 from absl import logging
 
-from pepperstep.coordination import Announcement, UpstreamBook
+from pepperstep.coordination import Announcement, UpstreamCatalog
 from pepperstep.errors import Failure
 from pepperstep.observability.decisions import EntryContact
 from tests.relaying.world import document, open_world
@@ -53,7 +53,7 @@
         await world.announce("c1:1", "u1", "plain")
         await trio.sleep(1.0)
         for host in [*world.controls.values(), *world.entries.values()]:
-            assert [each.id for each in host.book.working("plain")] == ["u1"]
+            assert [each.id for each in host.catalog.working("plain")] == ["u1"]
 
 
 async def test_leaving_upstream_outlives_the_host_that_heard_it(autojump_clock):
@@ -64,7 +64,7 @@
         world.kill("c1:1")
         await trio.sleep(1.5)
         for host in world.entries.values():
-            assert host.book.working("plain") == []
+            assert host.catalog.working("plain") == []
 
 
 async def test_leaving_is_not_acknowledged_by_a_host_cut_off(autojump_clock):
@@ -76,29 +76,29 @@
 
 
 async def test_late_announcement_does_not_bring_an_upstream_back(autojump_clock):
-    book = UpstreamBook(trio.current_time)
+    catalog = UpstreamCatalog(trio.current_time)
     first = Announcement("u1", "plain", "a:1", "z1", sequence=4)
-    book.note(first)
-    book.note_gone("u1")
-    book.note(Announcement("u1", "plain", "a:1", "z1", sequence=9))
-    assert book.working("plain") == []
+    catalog.record(first)
+    catalog.mark_gone("u1")
+    catalog.record(Announcement("u1", "plain", "a:1", "z1", sequence=9))
+    assert catalog.working("plain") == []
 
 
-async def test_end_may_be_heard_of_before_the_first_announcement(autojump_clock):
-    book = UpstreamBook(trio.current_time)
-    book.note_gone("u1")
-    book.note(Announcement("u1", "plain", "a:1", "z1", sequence=1))
-    assert book.working("plain") == []
+async def test_end_may_arrive_before_first_announcement(autojump_clock):
+    catalog = UpstreamCatalog(trio.current_time)
+    catalog.mark_gone("u1")
+    catalog.record(Announcement("u1", "plain", "a:1", "z1", sequence=1))
+    assert catalog.working("plain") == []
 
 
 async def test_lower_sequence_is_older(autojump_clock):
-    book = UpstreamBook(trio.current_time)
-    book.note(Announcement("u1", "plain", "a:2", "z1", sequence=5))
-    book.note(Announcement("u1", "plain", "a:1", "z1", sequence=3))
-    assert book.get("u1").address == "a:2"
+    catalog = UpstreamCatalog(trio.current_time)
+    catalog.record(Announcement("u1", "plain", "a:2", "z1", sequence=5))
+    catalog.record(Announcement("u1", "plain", "a:1", "z1", sequence=3))
+    assert catalog.get("u1").address == "a:2"
 
 
-async def test_restarted_control_hosts_tell_the_table_before_an_election(
+async def test_restarted_control_hosts_serve_table_before_election(
     autojump_clock,
 ):
     async with open_world() as world:
@@ -114,7 +114,7 @@
         await trio.sleep(0.5)
         assert world.leader == ""
         assert entry.is_ready
-        assert [each.id for each in entry.book.working("plain")] == ["u1"]
+        assert [each.id for each in entry.catalog.working("plain")] == ["u1"]
 
 
 @pytest.mark.parametrize(("later", "found_in"), [(0.6, 0.25), (2.0, 0.4)])
@@ -133,7 +133,7 @@
         assert entry.is_ready
 
 
-async def test_entry_hosts_ask_a_few_control_hosts(autojump_clock):
+async def test_entry_hosts_poll_a_few_control_hosts(autojump_clock):
     async with open_world(controls=6, entries=4) as world:
         await trio.sleep(3.0)
         for entry in world.entries.values():
@@ -146,11 +146,11 @@
         await trio.sleep(0.3)
         for entry in world.entries.values():
             assert entry.tables.current.version == 2
-            assert [each.id for each in entry.book.working("plain")] == ["u1"]
+            assert [each.id for each in entry.catalog.working("plain")] == ["u1"]
         assert {host.entries.count for host in world.controls.values()} == {4}
 
 
-async def test_next_control_host_is_asked_for_one_that_is_gone(autojump_clock):
+async def test_lost_control_host_is_replaced_by_next(autojump_clock):
     async with open_world(controls=5, entries=1) as world:
         await trio.sleep(3.0)
         entry = world.entries["e0:1"]
@@ -166,7 +166,7 @@
 
 
 @pytest.mark.parametrize("stays", [False, True])
-async def test_restart_of_all_hosts_is_found_out(autojump_clock, stays):
+async def test_restart_of_all_hosts_is_detected(autojump_clock, stays):
     """One entry host that lives on may have spent of the quotas meanwhile."""
     seeds = ("c0:1", "c1:1", "c2:1")
     async with open_world(entries=3) as world:
@@ -182,10 +182,10 @@
         # What is allowed is shared by all, though not all have come back.
         assert world.controls["c0:1"].entries.count == 3
         await trio.sleep(2.0)
-        assert {host.sync.knows_restart for host in hosts} == {not stays}
+        assert {host.sync.has_seen_restart for host in hosts} == {not stays}
 
 
-async def test_lost_and_found_entry_hosts_are_logged(autojump_clock, monkeypatch):
+async def test_contact_changes_of_entry_hosts_are_logged(autojump_clock, monkeypatch):
     contacts = []
 
     def keep(text: str, event: object = None, *_: object) -> None:
--- a/tests/relaying/test_directory.py
+++ b/tests/relaying/test_directory.py
@@ -29,7 +29,7 @@
     assert Directory().digest == 0
 
 
-async def test_entry_hosts_tell_it_while_all_control_hosts_are_down(autojump_clock):
+async def test_entry_hosts_serve_it_without_control_hosts(autojump_clock):
     async with open_world() as world:
         await trio.sleep(2.0)
         for name in list(world.controls):
@@ -39,7 +39,7 @@
             assert sorted(host.entry_addresses("z1")) == ALL
 
 
-async def test_host_that_leaves_is_told_of_nowhere(autojump_clock):
+async def test_leaving_host_is_in_no_directory(autojump_clock):
     async with open_world() as world:
         await trio.sleep(2.0)
         world.entries["e0:1"].leave()
@@ -49,7 +49,7 @@
             assert host.entry_addresses("z1") == ["e1:1:callers"]
 
 
-async def test_lost_entry_host_leaves_the_answers_of_others(autojump_clock):
+async def test_lost_entry_host_is_removed(autojump_clock):
     async with open_world() as world:
         await trio.sleep(2.0)
         world.kill("e0:1")
@@ -57,7 +57,7 @@
         assert world.entries["e1:1"].entry_addresses("z1") == ["e1:1:callers"]
 
 
-async def test_control_hosts_that_start_again_take_no_entry_host_away(autojump_clock):
+async def test_restarted_control_hosts_remove_no_entry_host(autojump_clock):
     async with open_world() as world:
         await trio.sleep(2.0)
         seeds = tuple(sorted(world.controls))
@@ -72,7 +72,7 @@
                 assert sorted(host.entry_addresses("z1")) == ALL
 
 
-async def test_entry_host_that_starts_soon_has_it(autojump_clock):
+async def test_starting_entry_host_soon_has_directory(autojump_clock):
     async with open_world() as world:
         await trio.sleep(2.0)
         world.kill("e0:1")
@@ -127,7 +127,7 @@
     assert len(set(Directory.from_reports(rest, "a").keepers) - set(keepers)) == 1
 
 
-async def test_no_more_is_told_than_callers_take(autojump_clock):
+async def test_directory_is_limited_to_what_callers_accept(autojump_clock):
     async with open_world() as world:
         reports = world.controls["c0:1"].entries.ready() * MAX_ADDRESSES
         told = Directory.from_reports(reports, "z1")
--- a/tests/relaying/test_entry_book.py
+++ b/tests/relaying/test_entry_host_catalog.py
@@ -5,7 +5,7 @@
 import pytest
 import trio
 
-from pepperstep.coordination import Directory, EntryBook, EntryReport
+from pepperstep.coordination import Directory, EntryHostCatalog, EntryReport
 from pepperstep.fakes.relaying import Reply
 from pepperstep.ports.exchange import AnswerHead
 from pepperstep.proto import coordination_pb2 as pb
@@ -30,8 +30,8 @@
 
 
 @pytest.fixture
-def book(clock):
-    return EntryBook(clock)
+def catalog(clock):
+    return EntryHostCatalog(clock)
 
 
 def report(number: int, **facts) -> EntryReport:
@@ -43,34 +43,34 @@
     )  # fmt: skip
 
 
-def tell(book: EntryBook, other: EntryBook, since: int) -> int:
+def tell(catalog: EntryHostCatalog, other: EntryHostCatalog, since: int) -> int:
     """Let one book's host tell another's what is new, and return the version told."""
-    for message in book.messages_since(since):
-        other.note(EntryReport.from_message(message), message.age)
-    return book.version
+    for message in catalog.messages_since(since):
+        other.record_relayed(EntryReport.from_message(message), message.age)
+    return catalog.version
 
 
-def test_only_what_changed_is_told(book):
+def test_only_changes_are_published(catalog):
     full = {"desk": 500, "shop": 70}
     for number in range(200):
-        book.note_own(
+        catalog.record(
             report(number, admitted=full, windows={6: {"desk": 3}, 7: full}), True
         )
-    version = book.version
-    assert len(book.messages_since(0)) == 200
-    assert book.messages_since(version) == []
-    book.note_own(report(3, admitted={"desk": 600}, windows={8: {"desk": 1}}), True)
-    (message,) = book.messages_since(version)
+    version = catalog.version
+    assert len(catalog.messages_since(0)) == 200
+    assert catalog.messages_since(version) == []
+    catalog.record(report(3, admitted={"desk": 600}, windows={8: {"desk": 1}}), True)
+    (message,) = catalog.messages_since(version)
     told = EntryReport.from_message(message)
     assert told.host == "e3:1"
     assert told.admitted == {"desk": 600}
     assert told.windows == {8: {"desk": 1}}
 
 
-def test_a_report_is_told_by_the_host_that_got_it(book, clock):
-    other = EntryBook(clock)
-    book.note_own(report(1), True)
-    tell(book, other, 0)
+def test_relayed_report_is_not_published(catalog, clock):
+    other = EntryHostCatalog(clock)
+    catalog.record(report(1), True)
+    tell(catalog, other, 0)
     assert [each.host for each in other.ready()] == ["e1:1"]
     assert other.messages_since(0) == []
 
@@ -78,7 +78,7 @@
 class Asker:
     """An entry host that reports differences to two control hosts."""
 
-    def __init__(self, number: int, books: list[EntryBook]):
+    def __init__(self, number: int, books: list[EntryHostCatalog]):
         self.report = report(number)
         self.source = 0
         self._number = number
@@ -95,10 +95,10 @@
 
     def tell(self, is_answered=(True, True), arrives: bool = True) -> None:
         """Report to both; a question without an answer may have arrived."""
-        for index, book in enumerate(self._books):
+        for index, catalog in enumerate(self._books):
             if is_answered[index] or arrives:
                 news = self.report.changed_since(self._told[index])
-                book.note_own(news, index == self.source)
+                catalog.record(news, index == self.source)
             self._told[index] = self.report if is_answered[index] else None
 
     def restart(self) -> None:
@@ -111,10 +111,10 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_books_told_of_changes_hold_what_a_whole_report_would(clock, seed):
+def test_merged_changes_equal_whole_reports(clock, seed):
     """Differences, lost questions, restarts and other sources, beside whole reports."""
     rng = random.Random(seed)
-    one, two, far, whole = (EntryBook(clock) for _ in range(4))
+    one, two, far, whole = (EntryHostCatalog(clock) for _ in range(4))
     askers = [Asker(number, [one, two]) for number in range(5)]
     told = {one: 0, two: 0}
     for step in range(200):
@@ -126,74 +126,72 @@
         if rng.random() < 0.1:
             asker.source = 1 - asker.source
         asker.count(step // 40, rng.choice(("desk", "shop")))
-        whole.note_own(asker.report, True)
+        whole.record(asker.report, True)
         asker.tell((rng.random() < 0.8, rng.random() < 0.8), rng.random() < 0.5)
-        for book in (one, two):
+        for catalog in (one, two):
             if rng.random() < 0.3:
-                told[book] = tell(book, far, told[book])
+                told[catalog] = tell(catalog, far, told[catalog])
     for asker in askers:
         asker.tell()
-    for book in (one, two):
-        tell(book, far, told[book])
-    for book in (one, two, far):
+    for catalog in (one, two):
+        tell(catalog, far, told[catalog])
+    for catalog in (one, two, far):
         for window in range(5):
-            assert book.counts_of(window) == whole.counts_of(window)
+            assert catalog.counts_of(window) == whole.counts_of(window)
         for host in ("", "e0:1", "e4:1"):
-            assert book.admitted_besides(host) == whole.admitted_besides(host)
+            assert catalog.admitted_elsewhere(host) == whole.admitted_elsewhere(host)
 
 
-def test_a_new_source_tells_all_that_it_has_heard(book, clock):
+def test_new_publisher_publishes_all_counts(catalog, clock):
     """The source before may have gone with what it hasn't told yet."""
-    book.note_own(report(1, admitted={"desk": 5}, windows={6: {"desk": 1}}), False)
-    assert book.messages_since(0) == []
-    book.note_own(report(2), True)
-    version = book.version
-    book.note_own(report(1, admitted={"shop": 7}), True)
-    (message,) = book.messages_since(version)
+    catalog.record(report(1, admitted={"desk": 5}, windows={6: {"desk": 1}}), False)
+    assert catalog.messages_since(0) == []
+    catalog.record(report(2), True)
+    version = catalog.version
+    catalog.record(report(1, admitted={"shop": 7}), True)
+    (message,) = catalog.messages_since(version)
     told = EntryReport.from_message(message)
     assert told.admitted == {"desk": 5, "shop": 7}
     assert told.windows == {6: {"desk": 1}}
 
 
-def test_counts_of_forgotten_lives_are_taken_off(book, clock):
-    book.note_own(report(1, admitted={"desk": 500}), True)
+def test_counts_of_removed_incarnations_are_subtracted(catalog, clock):
+    catalog.record(report(1, admitted={"desk": 500}), True)
     clock.time += 59.0
-    book.note_own(report(2, admitted={"desk": 30}), True)
+    catalog.record(report(2, admitted={"desk": 30}), True)
     clock.time += 2.0
-    book.messages_since(0)
-    assert book.admitted_besides("e9:1") == {"desk": 30}
-    assert book.admitted_besides("e2:1") == {"desk": 0}
+    catalog.messages_since(0)
+    assert catalog.admitted_elsewhere("e9:1") == {"desk": 30}
+    assert catalog.admitted_elsewhere("e2:1") == {"desk": 0}
 
 
-def test_readiness_is_told_at_once_and_silence_in_time(book, clock):
+def test_directory_follows_readiness_and_silence(catalog, clock):
     for number in range(6):
-        book.note_own(report(number), True)
-    assert len(book.directory("z1").entries) == 6
-    book.note_own(report(4, is_ready=False), True)
-    assert len(book.directory("z1").entries) == 5
+        catalog.record(report(number), True)
+    assert len(catalog.directory("z1").entries) == 6
+    catalog.record(report(4, is_ready=False), True)
+    assert len(catalog.directory("z1").entries) == 5
     clock.time += 0.6
     for number in range(3):
-        book.note_own(report(number), True)
+        catalog.record(report(number), True)
     clock.time += 0.65
-    assert len(book.directory("z1").entries) == 3
-    assert len(book.ready()) == 3
+    assert len(catalog.directory("z1").entries) == 3
+    assert len(catalog.ready()) == 3
 
 
-def test_directories_are_not_kept_for_zones_that_callers_make_up(book, monkeypatch):
-    book.note_own(report(0), True)
+def test_no_directory_is_cached_for_unknown_zones(catalog, monkeypatch):
+    catalog.record(report(0), True)
     made = []
     make = Directory.from_reports
     monkeypatch.setattr(
         Directory, "from_reports", lambda *args: made.append(args) or make(*args)
     )
     for number in range(1000):
-        assert book.directory(f"nowhere-{number}").addresses("z1") == ["e0:callers"]
+        assert catalog.directory(f"nowhere-{number}").addresses("z1") == ["e0:callers"]
     assert len(made) == 1
 
 
-async def test_directories_are_made_when_entry_hosts_change(
-    autojump_clock, monkeypatch
-):
+async def test_directories_are_rebuilt_on_changes_only(autojump_clock, monkeypatch):
     """Each answer made one before: about 390 a second here, and most work of a host."""
     async with open_world(entries=60) as world:
         await trio.sleep(3.0)
@@ -209,7 +207,7 @@
         assert len(world.entries["e8:1"].entry_addresses("z1")) == 59
 
 
-async def test_one_control_host_tells_the_others_of_an_entry_host(autojump_clock):
+async def test_one_control_host_publishes_an_entry_host(autojump_clock):
     """It's asked by three, each of which told the other four."""
     async with open_world(controls=5, entries=10) as world:
         await trio.sleep(3.0)
@@ -231,13 +229,13 @@
             assert len(control.entries.ready()) == 10
 
 
-async def test_reports_age_on_their_way(autojump_clock):
+async def test_transit_time_adds_to_age_of_reports(autojump_clock):
     """An entry host that another control host has lost isn't there for this one."""
     async with open_world(entries=1) as world:
-        desk = world.controls["c0:1"].desk
+        sync_server = world.controls["c0:1"].sync_server
         for number, age in ((7, 0.1), (8, 1.0)):
             message = report(number).to_message(age)
-            desk.absorb("c1:1", pb.SyncReply(entries=[message]), 0.2)
+            sync_server.merge_reply("c1:1", pb.SyncReply(entries=[message]), 0.2)
         addresses = world.controls["c0:1"].entry_addresses("z1")
         assert addresses == ["e0:1:callers", "e7:callers"]
 
@@ -271,7 +269,7 @@
             await trio.sleep(1 / rate)
 
 
-async def test_control_traffic_of_a_host_does_not_grow_with_their_number(
+async def test_control_traffic_per_host_is_constant(
     autojump_clock,
 ):
     """With whole reports twice a second, 120 hosts cost each 14 KB/s, and 30 7 KB/s."""
--- a/tests/relaying/test_host_share.py
+++ b/tests/relaying/test_host_share.py
@@ -38,7 +38,7 @@
     """Let a share be told twice a second."""
     for _ in range(round(2 * seconds)):
         clock.now += 0.5
-        share.note_told(hosts)
+        share.record_host_count(hosts)
 
 
 def test_host_without_word_has_no_part(share, clock):
@@ -61,7 +61,7 @@
     tell(share, clock, 4, 8.0)
     assert share.credit > 1.0
     clock.now += 8.0
-    share.note_told(4)
+    share.record_host_count(4)
     assert (share.credit, share.joins) == (0.0, 2)
 
 
@@ -72,7 +72,7 @@
     assert before > 2
     clock.now += 3.0
     assert not budget.take("plain")
-    share.note_told(10)
+    share.record_host_count(10)
     assert budget.take("plain")
     assert budget.state_of("plain").saved <= before
 
@@ -91,7 +91,7 @@
     for _ in range(160):
         clock.now += 0.25
         for number, (share, budget) in enumerate(hosts):
-            share.note_told(count)
+            share.record_host_count(count)
             while rng.random() < 0.9 and budget.take("plain"):
                 times.append(clock.now)
             if rng.random() < 0.05:
--- a/tests/relaying/test_leaving_upstreams.py
+++ b/tests/relaying/test_leaving_upstreams.py
@@ -63,7 +63,7 @@
         assert set(statuses) == {200}
 
 
-async def test_one_hosts_answer_tells_all_hosts(autojump_clock):
+async def test_leaving_in_one_answer_reaches_all_hosts(autojump_clock):
     leaving = Upstream(LEAVES_AT)
     async with serving([leaving, Upstream()]) as world:
         await trio.sleep_until(LEAVES_AT)
@@ -75,7 +75,7 @@
         assert leaving.since(LEAVES_AT) == told
 
 
-async def test_host_that_reaches_no_control_host_takes_an_answer_at_its_word(
+async def test_isolated_host_applies_leaving_in_an_answer(
     autojump_clock,
 ):
     leaving = Upstream(LEAVES_AT)
@@ -87,7 +87,7 @@
         assert set(statuses) == {200}
 
 
-async def test_announcement_on_the_other_side_of_a_cut_takes_nothing_back(
+async def test_announcement_across_a_cut_resets_nothing(
     autojump_clock,
 ):
     """The control hosts that miss its word hear on of the upstream as working."""
@@ -132,7 +132,7 @@
         assert leaving.since(begin) > 0
 
 
-async def test_answer_of_another_upstream_at_the_address_says_nothing_of_this(
+async def test_answer_of_other_upstream_at_address_is_ignored(
     autojump_clock,
 ):
     head = AnswerHead(
@@ -147,4 +147,4 @@
     async with serving([Upstream()], entries=1) as world:
         world.connector.scripts["plain0:80"] = lambda sent: Reply(head)
         await world.ask("e0:1", request("/safe/1"))
-        assert not world.entries["e0:1"].book.get("plain0").is_leaving
+        assert not world.entries["e0:1"].catalog.get("plain0").is_leaving
--- a/tests/relaying/test_lost_contact.py
+++ b/tests/relaying/test_lost_contact.py
@@ -42,7 +42,7 @@
         await ask(world.controls[name])
 
 
-async def test_learners_that_never_answer_are_not_missed(autojump_clock):
+async def test_silent_learners_do_not_affect_quorum(autojump_clock):
     async with open_world() as world:
         for number in range(4):
             join = LogJoinRequest(
--- a/tests/relaying/test_partial_views.py
+++ b/tests/relaying/test_partial_views.py
@@ -18,9 +18,7 @@
 
 
 @pytest.mark.parametrize("partial", ["c0:1", "c1:1", "c2:1"])
-async def test_entry_hosts_share_quotas_by_all_that_any_control_host_hears(
-    autojump_clock, partial
-):
+async def test_entry_count_is_highest_of_any_control_host(autojump_clock, partial):
     async with open_world(entries=4) as world:
         world.cut_off(partial, [*world.controls, "e1:1", "e2:1", "e3:1"])
         await trio.sleep(LONG_SECONDS)
@@ -34,7 +32,7 @@
 
 
 @pytest.mark.parametrize("partial", ["c0:1", "c1:1", "c2:1"])
-async def test_callers_are_told_of_all_entry_hosts(autojump_clock, partial):
+async def test_directory_holds_all_entry_hosts(autojump_clock, partial):
     async with open_world(entries=4) as world:
         world.cut_off(partial, [*world.controls, "e1:1", "e2:1", "e3:1"])
         await trio.sleep(3.0)
@@ -43,7 +41,7 @@
             assert len(world.entries["e0:1"].entry_addresses("z1")) == 4
 
 
-async def test_quotas_are_divided_by_all_hosts_beside_a_control_host_cut_off(
+async def test_quotas_are_divided_by_all_hosts_despite_a_cut(
     autojump_clock, monkeypatch
 ):
     events = []
--- a/tests/relaying/test_platform.py
+++ b/tests/relaying/test_platform.py
@@ -37,7 +37,7 @@
     return read_platform_settings(path)
 
 
-def test_settings_are_told_in_the_products_words(tmp_path):
+def test_settings_are_translated(tmp_path):
     settings = read(tmp_path, SETTINGS)
     assert settings.peer_address == "10.0.0.4:7600"
     assert settings.seeds == ("10.0.0.4:7600", "10.0.0.5:7600")
@@ -141,7 +141,7 @@
         decode_table(data)
 
 
-def test_request_facts():
+def test_request_headers_are_decoded():
     head = RequestHead(
         b"POST",
         b"/x",
--- a/tests/relaying/test_quota_claims.py
+++ b/tests/relaying/test_quota_claims.py
@@ -9,7 +9,7 @@
 from pepperstep.entities.routes import Quota, RouteTable, Workspace
 from pepperstep.fakes import FakeNetwork, FakePeers, FakeTimers
 from pepperstep.relay import Quotas
-from pepperstep.relay.keepers import Keepers
+from pepperstep.relay.keepers import KeyOwners
 from pepperstep.relay.quota_claims import QuotaClaims
 
 QUOTA = Quota(rate=100, burst=1_000, counts_tokens=True, plain_tokens=1)
@@ -25,7 +25,7 @@
         peers = FakePeers(name, network, timers, nursery)
         self.name = name
         self.quotas = Quotas(lambda: len(NAMES), trio.current_time)
-        self.keepers = Keepers(name, peers, timers, lambda: NAMES)
+        self.keepers = KeyOwners(name, peers, timers, lambda: NAMES)
         self.claims = QuotaClaims(self.keepers, peers, self.quotas)
 
     async def know(self) -> None:
@@ -73,12 +73,12 @@
 async def test_grants_are_taken_once_though_they_are_told_later(autojump_clock):
     async with open_hosts() as (keeper, others, _):
         await keeper.know()
-        keeper.quotas.note_elsewhere("desk", 0)
+        keeper.quotas.record_spent_elsewhere("desk", 0)
         for _ in range(3):
             assert not (await others[0].claims.claim("desk", 100)).wait
-        keeper.quotas.note_elsewhere("desk", 250)
+        keeper.quotas.record_spent_elsewhere("desk", 250)
         assert keeper.quotas.state_of("desk").level >= QUOTA.burst - 300
-        keeper.quotas.note_elsewhere("desk", 400)
+        keeper.quotas.record_spent_elsewhere("desk", 400)
         assert keeper.quotas.state_of("desk").level <= QUOTA.burst - 390
 
 
--- a/tests/relaying/test_quota_windows.py
+++ b/tests/relaying/test_quota_windows.py
@@ -52,7 +52,7 @@
         self._ended = 0
         self.watch()
         for quotas in self.quotas:
-            quotas.note_restart()
+            quotas.refill_after_restart()
 
     def watch(self) -> None:
         """Let all hosts know the workspace before its first request."""
@@ -77,7 +77,7 @@
         quotas = self.quotas[host]
         self._told[host] = quotas.admitted().get("desk", 0)
         total = self._ended + sum(self._told) - self._told[host]
-        quotas.note_elsewhere("desk", total)
+        quotas.record_spent_elsewhere("desk", total)
 
     def _new(self, host: int) -> Quotas:
         return Quotas(
--- a/tests/relaying/test_retry_after.py
+++ b/tests/relaying/test_retry_after.py
@@ -139,7 +139,7 @@
         await trio.sleep(1.0)
         host = world.entries["e0:1"]
         judged = VersionSplit(trio.current_time, lambda rollout: True)
-        judged.take(
+        judged.update(
             Rollout(
                 service="plain",
                 to="v2",
--- a/tests/relaying/test_scaling.py
+++ b/tests/relaying/test_scaling.py
@@ -8,7 +8,7 @@
     Demand,
     ZoneCounts,
     plan_counts,
-    upstreams_for,
+    required_upstreams,
 )
 from pepperstep.entities.routes import ScalingBounds
 
@@ -65,7 +65,7 @@
     assert sum(reclaimable) - max(reclaimable) >= 50 / 5
 
 
-def test_lost_zone_is_made_up_for_before_the_next_is_lost():
+def test_lost_zone_is_replaced_before_next_loss():
     standing = {"a": 0, "b": 2, "c": 2}
     counts = plan(requests(20, 20), dry=("a",), standing=standing)
     open_zones = [counts["b"].reclaimable, counts["c"].reclaimable]
@@ -84,13 +84,13 @@
     assert all(each.steady + each.reclaimable <= 6 for each in counts.values())
 
 
-def test_past_peak_keeps_reclaimable_ones_only():
+def test_past_peak_keeps_only_reclaimable():
     counts = plan(requests(peak=60, present=5))
     assert sum(each.steady for each in counts.values()) == 0
     assert all(each.reclaimable == 6 for each in counts.values())
 
 
-def test_past_peak_is_made_up_for_as_far_as_the_next_loss_needs():
+def test_past_peak_is_covered_for_the_next_loss():
     standing_in_a, ordered_in_b = 3, 6
     demand = requests(peak=60, present=5)
     counts = plan(demand, dry=("a",), coming={"b": ordered_in_b, "c": 6})
@@ -98,7 +98,7 @@
     assert steady == 60 / 5 - standing_in_a - ordered_in_b
 
 
-def test_steady_ones_follow_the_mean_when_zones_are_lost():
+def test_steady_follow_the_mean_when_zones_are_lost():
     """Work that came in a burst before the loss isn't insured at the full price."""
     demand = requests(peak=60, present=25, mean=25)
     for zones, standing in ((("a",), {"b": 3, "c": 3}), (("a", "b"), {"c": 3})):
@@ -118,47 +118,47 @@
     assert sum(each.steady for each in counts.values()) == 0
 
 
-def test_dry_zone_that_stands_helps_to_carry_the_peak():
+def test_running_upstreams_of_exhausted_zone_count():
     counts = plan(requests(peak=22, present=10), dry=("c",))
     carried = [counts["a"].reclaimable, counts["b"].reclaimable, 3]
     assert sum(carried) - max(carried) >= 5
     assert sum(each.steady for each in counts.values()) == 0
 
 
-def test_a_single_open_zone_is_backed_by_steady_ones_elsewhere():
+def test_single_available_zone_is_backed_by_steady_elsewhere():
     counts = plan(requests(peak=28, present=28), dry=("b", "c"), standing={"a": 3})
     assert counts["a"].reclaimable + counts["a"].steady == 6
     assert sum(each.steady for each in counts.values()) == 3
 
 
-def test_what_stands_in_dry_zones_is_counted_until_the_next_loss():
+def test_upstreams_in_exhausted_zones_count_until_next_loss():
     """No zone gives out more, and one has lost all that it had."""
     standing = {"a": 3, "b": 3}
     counts = plan(requests(peak=25, present=10), dry=ZONES, standing=standing)
     assert sum(each.steady for each in counts.values()) == 2
 
 
-def test_last_zone_that_stands_is_backed_by_steady_ones():
+def test_last_running_zone_is_backed_by_steady():
     counts = plan(requests(peak=20, present=20), dry=ZONES, standing={"a": 4})
     assert sum(each.steady for each in counts.values()) == 2
 
 
-def test_without_reclaimable_ones_all_work_is_carried_by_steady_ones():
+def test_steady_carry_all_work_without_reclaimable():
     counts = plan(requests(peak=30, present=20), dry=ZONES, standing={})
     assert sum(each.steady for each in counts.values()) >= 4
 
 
-def test_no_steady_ones_are_ordered_while_reclaimable_ones_start():
+def test_no_steady_are_ordered_while_reclaimable_start():
     counts = plan(requests(peak=22, present=22), standing={"a": 3})
     assert sum(each.steady for each in counts.values()) == 0
 
 
 def test_reading_and_requests_each_need_upstreams():
-    assert upstreams_for(ServiceWork(in_flight=8, reading=3.0)) == pytest.approx(5)
-    assert upstreams_for(ServiceWork(in_flight=60, reading=0.0)) == 4
+    assert required_upstreams(ServiceWork(in_flight=8, reading=3.0)) == pytest.approx(5)
+    assert required_upstreams(ServiceWork(in_flight=60, reading=0.0)) == 4
 
 
-def test_plan_stays_when_dry_zones_are_taken_for_open_again():
+def test_plan_is_stable_when_exhausted_zones_reopen():
     """A zone counts as dry until it was asked, and nothing may be due there."""
     standing = {"a": 3, "b": 3}
     demand = requests(peak=22, present=22)
@@ -169,14 +169,14 @@
     }
 
 
-def test_other_zones_make_up_for_one_without_room():
+def test_other_zones_replace_a_full_zone():
     """The zone that stands is full, and may be the next that's lost."""
     counts = plan(requests(peak=60, present=60), dry=ZONES, standing={"a": 6})
     assert counts["a"].steady == 0
     assert counts["b"].steady + counts["c"].steady == 60 / REQUESTS_EACH - 6
 
 
-def test_all_work_is_covered_where_losses_come_close_to_each_other():
+def test_all_work_is_covered_when_losses_are_clustered():
     """The third zone is lost before upstreams that are ordered then have started."""
     standing = {"a": 0, "b": 0, "c": 6}
     demand = requests(peak=30, present=20, mean=20)
@@ -187,7 +187,7 @@
 
 
 @pytest.mark.parametrize(("pause", "expected"), [(1.2, True), (6.0, False)])
-def test_losses_within_a_start_are_close(pause, expected):
+def test_losses_within_a_start_are_clustered(pause, expected):
     now = 0.0
     state = OrderState(lambda: now)
     now = 100.0
@@ -201,7 +201,7 @@
     assert not state.are_losses_close(BOUNDS.boot_seconds)
 
 
-def test_new_holder_does_not_take_old_losses_for_close_ones():
+def test_new_holder_ignores_old_losses():
     now = 100.0
     state = OrderState(lambda: now)
     while now < 112.0:
--- a/tests/relaying/test_shared_load.py
+++ b/tests/relaying/test_shared_load.py
@@ -6,7 +6,7 @@
 import pytest
 import trio
 
-from pepperstep.coordination import Announcement, UpstreamBook
+from pepperstep.coordination import Announcement, UpstreamCatalog
 from pepperstep.entities.routes import Service
 from pepperstep.fakes import FakeNetwork, FakePeers, FakeTimers
 from pepperstep.fakes.relaying import FakeConnector, Reply
@@ -14,8 +14,8 @@
 from pepperstep.ports.relaying import PromptPart, RequestFacts
 from pepperstep.proto import coordination_pb2 as pb
 from pepperstep.relay import Chooser, Pools
-from pepperstep.relay.keepers import Keepers
-from pepperstep.relay.prompts import PromptMemory
+from pepperstep.relay.keepers import KeyOwners
+from pepperstep.relay.prompts import PrefillTracker
 from pepperstep.relay.shared_load import TOLD_TOKENS, SharedLoad
 from tests.relaying.world import open_world, request
 
@@ -36,17 +36,17 @@
         self.names = names
         timers = FakeTimers(random.Random(seed))
         peers = FakePeers(name, network, timers, nursery)
-        self.book = UpstreamBook(trio.current_time)
+        self.catalog = UpstreamCatalog(trio.current_time)
         for upstream in UPSTREAMS:
-            self.book.note(Announcement(upstream, "model", f"{upstream}:80", "z1"))
-        prompts = PromptMemory(trio.current_time)
-        self.keepers = Keepers(name, peers, timers, lambda: names[:KEEPERS])
+            self.catalog.record(Announcement(upstream, "model", f"{upstream}:80", "z1"))
+        prompts = PrefillTracker(trio.current_time)
+        self.keepers = KeyOwners(name, peers, timers, lambda: names[:KEEPERS])
         self.load = SharedLoad(
             self.keepers, peers, timers, lambda key: self.chooser.work_at(key)
         )
         pools = Pools(FakeConnector(), lambda: len(names), trio.current_time)
         self.chooser = Chooser(
-            self.book,
+            self.catalog,
             pools,
             "z1",
             lambda: len(names),
@@ -98,7 +98,7 @@
         for _ in range(10):
             choice = await host.send(SMALL)
             assert choice.upstream.id != large
-            host.chooser.note_read(choice, 0.1)
+            host.chooser.record_prefill(choice, 0.1)
 
 
 async def test_two_hosts_place_large_prompts_apart(hosts):
@@ -113,7 +113,7 @@
     choice = await one.send(LARGE)
     await trio.sleep(0.05)
     assert await two.others_at(choice) == LARGE
-    one.chooser.note_read(choice, 0.9)
+    one.chooser.record_prefill(choice, 0.9)
     await trio.sleep(0.05)
     assert await two.others_at(choice) == 0
 
@@ -175,7 +175,7 @@
             for host in hosts[:7]:
                 choice = await host.send(LARGE)
                 await trio.sleep(0.05)
-                host.chooser.note_read(choice, 0.5)
+                host.chooser.record_prefill(choice, 0.5)
                 await trio.sleep(0.05)
             sent = network.sent["WorkNotice"] + network.sent["WorkNoticeReply"]
             assert sent <= 7 * 2 * 5
@@ -248,7 +248,7 @@
                 leaving = Announcement(
                     upstream, "model", "", "z1", sequence=1, is_leaving=True
                 )
-                host.book.note(leaving)
+                host.catalog.record(leaving)
         assert chosen[0].upstream.id == UPSTREAMS[2]
 
 
@@ -259,7 +259,7 @@
         await trio.sleep(0.05)
         keeper = one.keepers.keeper_of(choice.upstream.id)
         one.names.remove(keeper)
-        one.chooser.note_read(choice, 0.2)
+        one.chooser.record_prefill(choice, 0.2)
         again = await one.send(LARGE)
         await trio.sleep(0.05)
         asker = next(each for each in (two, three) if each.name != keeper)
--- a/tests/relaying/test_silence.py
+++ b/tests/relaying/test_silence.py
@@ -4,9 +4,9 @@
 import trio
 from hypothesis import given, strategies as st
 
-from pepperstep.coordination import Announcement, UpstreamBook
-from pepperstep.coordination.contact import Contact
-from pepperstep.coordination.silence import SilenceJudge, SilenceVotes
+from pepperstep.coordination import Announcement, UpstreamCatalog
+from pepperstep.coordination.quorum_monitor import QuorumMonitor
+from pepperstep.coordination.silence import SilenceDetector, SilenceVotes
 from pepperstep.proto import coordination_pb2 as pb
 from tests.relaying.world import open_world
 
@@ -42,7 +42,7 @@
 
 def working(host) -> list[str]:
     """Return the upstreams of the plain service that a host counts on."""
-    return [each.id for each in host.book.working("plain")]
+    return [each.id for each in host.catalog.working("plain")]
 
 
 class Judged:
@@ -50,26 +50,26 @@
 
     def __init__(self) -> None:
         self.clock = Clock()
-        self.book = UpstreamBook(self.clock.now, "c0")
+        self.catalog = UpstreamCatalog(self.clock.now, "c0")
         self.is_in_contact = True
         # Control hosts that answer, of three.
         self.reached = ["c1", "c2"]
-        contact = Contact(
+        quorum_monitor = QuorumMonitor(
             "c0", lambda: ["c0", "c1", "c2"], lambda: self.reached, self.clock.now
         )
-        self.judge = SilenceJudge(self.book, self.clock.now, contact)
-        self.book.note(announcement())
+        self.judge = SilenceDetector(self.catalog, self.clock.now, quorum_monitor)
+        self.catalog.record(announcement())
 
     def look_for(self, seconds: int) -> None:
         """Let time pass."""
         for _ in range(seconds):
             self.clock.time += 1.0
-            self.judge.look()
+            self.judge.check()
 
     @property
     def is_silent(self) -> bool:
         """Whether the upstream counts as silent."""
-        return KEY in self.book.silent
+        return KEY in self.catalog.silent
 
 
 def test_upstream_is_silent_after_twenty_seconds():
@@ -77,10 +77,10 @@
     judged.look_for(20)
     assert not judged.is_silent
     judged.look_for(1)
-    assert judged.is_silent and judged.book.working("plain") == []
+    assert judged.is_silent and judged.catalog.working("plain") == []
 
 
-def test_host_without_contact_judges_nothing_nor_right_after():
+def test_host_without_quorum_marks_nothing_silent():
     judged = Judged()
     judged.reached = []
     judged.look_for(60)
@@ -91,16 +91,16 @@
     assert judged.is_silent
 
 
-def test_upstream_of_a_control_host_out_of_reach_is_judged_late():
+def test_upstream_of_unreachable_control_host_is_marked_late():
     judged = Judged()
     judged.clock.time += 0.5
-    judged.book.note(announcement(sequence=2), told_by="c1", heard_by="c2")
+    judged.catalog.record(announcement(sequence=2), told_by="c1", heard_by="c2")
     judged.reached = ["c1"]
     judged.look_for(300)
     assert not judged.is_silent
     judged.look_for(1)
     assert judged.is_silent
-    judged.book.note(announcement(sequence=3), told_by="c1", heard_by="c2")
+    judged.catalog.record(announcement(sequence=3), told_by="c1", heard_by="c2")
     judged.look_for(60)
     assert not judged.is_silent
     judged.reached = ["c1", "c2"]
@@ -108,7 +108,7 @@
     assert judged.is_silent
 
 
-def test_host_that_was_frozen_judges_nothing_right_after():
+def test_frozen_host_marks_nothing_silent():
     judged = Judged()
     judged.clock.time += 30.0
     judged.look_for(19)
@@ -120,62 +120,62 @@
 def test_announcement_ends_silence_at_once():
     judged = Judged()
     judged.look_for(30)
-    before = judged.book.version
-    judged.book.note(announcement(sequence=1))
-    assert not judged.is_silent and judged.book.working("plain")
-    assert judged.book.version > before
+    before = judged.catalog.version
+    judged.catalog.record(announcement(sequence=1))
+    assert not judged.is_silent and judged.catalog.working("plain")
+    assert judged.catalog.version > before
 
 
 def test_announcement_that_came_before_the_silence_does_not_end_it():
     judged = Judged()
     judged.look_for(30)
-    judged.book.note(announcement(sequence=1), age=15.0)
+    judged.catalog.record(announcement(sequence=1), age=15.0)
     assert judged.is_silent
 
 
-def test_later_start_and_own_word_of_the_end_end_silence():
+def test_restart_and_end_clear_silence():
     judged = Judged()
     judged.look_for(30)
-    judged.book.note(announcement(incarnation=7))
-    assert not judged.book.silent and judged.book.working("plain")
+    judged.catalog.record(announcement(incarnation=7))
+    assert not judged.catalog.silent and judged.catalog.working("plain")
     judged.look_for(30)
-    judged.book.note_gone("u1")
-    assert not judged.book.silent and not judged.book.working("plain")
+    judged.catalog.mark_gone("u1")
+    assert not judged.catalog.silent and not judged.catalog.working("plain")
 
 
-def test_told_silence_counts_unless_the_host_has_heard_of_the_upstream_since():
+def test_reported_silence_yields_to_later_announcement():
     judged = Judged()
     judged.look_for(10)
-    judged.book.note(announcement(sequence=1))
+    judged.catalog.record(announcement(sequence=1))
     judged.look_for(5)
-    judged.book.note_silent(KEY, age=20.0, told_by="c1")
+    judged.catalog.mark_silent(KEY, age=20.0, told_by="c1")
     assert not judged.is_silent
-    judged.book.note_silent(("u1", 7), age=0.0, told_by="c1")
-    judged.book.note_silent(("u9", 0), age=0.0, told_by="c1")
-    assert not judged.book.silent
-    judged.book.note_silent(KEY, age=4.0, told_by="c1")
+    judged.catalog.mark_silent(("u1", 7), age=0.0, told_by="c1")
+    judged.catalog.mark_silent(("u9", 0), age=0.0, told_by="c1")
+    assert not judged.catalog.silent
+    judged.catalog.mark_silent(KEY, age=4.0, told_by="c1")
     assert judged.is_silent
 
 
 def test_silent_upstreams_are_usable_only_where_no_other_is():
     judged = Judged()
     judged.look_for(30)
-    assert [each.id for each in judged.book.usable("plain")] == ["u1"]
-    judged.book.note(announcement("u2"))
-    assert [each.id for each in judged.book.usable("plain")] == ["u2"]
+    assert [each.id for each in judged.catalog.usable("plain")] == ["u1"]
+    judged.catalog.record(announcement("u2"))
+    assert [each.id for each in judged.catalog.usable("plain")] == ["u2"]
 
 
-def test_long_silent_upstream_is_forgotten_and_may_come_back():
+def test_long_silent_upstream_is_removed_and_may_return():
     judged = Judged()
     forgotten = []
-    judged.book.subscribe_forgotten(forgotten.append)
+    judged.catalog.subscribe_forgotten(forgotten.append)
     judged.look_for(30)
     judged.clock.time += 600.0
-    judged.book.forget_silent(600.0)
+    judged.catalog.forget_silent(600.0)
     assert [each.id for each in forgotten] == ["u1"]
-    assert judged.book.all() == [] and not judged.book.silent
-    judged.book.note(announcement(sequence=9))
-    assert judged.book.working("plain")
+    assert judged.catalog.all() == [] and not judged.catalog.silent
+    judged.catalog.record(announcement(sequence=9))
+    assert judged.catalog.working("plain")
 
 
 class Voted:
@@ -183,54 +183,54 @@
 
     def __init__(self) -> None:
         self.clock = Clock()
-        self.book = UpstreamBook(self.clock.now)
-        self.votes = SilenceVotes(self.book, self.clock.now)
-        self.book.note(announcement())
+        self.catalog = UpstreamCatalog(self.clock.now)
+        self.votes = SilenceVotes(self.catalog, self.clock.now)
+        self.catalog.record(announcement())
 
     @property
     def is_silent(self) -> bool:
         """Whether the upstream counts as silent."""
-        return KEY in self.book.silent
+        return KEY in self.catalog.silent
 
 
-def test_one_control_host_that_hears_an_upstream_is_enough():
+def test_one_control_host_keeps_upstream_working():
     voted = Voted()
-    voted.votes.note_answer("c0", answer(u1=False))
-    voted.votes.note_answer("c1", answer(u1=True))
+    voted.votes.record_reply("c0", answer(u1=False))
+    voted.votes.record_reply("c1", answer(u1=True))
     assert not voted.is_silent
-    voted.votes.note_answer("c0", answer(u1=True))
+    voted.votes.record_reply("c0", answer(u1=True))
     assert voted.is_silent
-    voted.votes.note_answer("c1", answer(u1=False))
+    voted.votes.record_reply("c1", answer(u1=False))
     assert not voted.is_silent
 
 
-def test_word_of_a_control_host_that_is_silent_itself_does_not_last():
+def test_vote_of_silent_control_host_expires():
     voted = Voted()
-    voted.votes.note_answer("c0", answer(u1=False))
+    voted.votes.record_reply("c0", answer(u1=False))
     voted.clock.time += 19.0
-    voted.votes.note_answer("c1", answer(u1=True))
+    voted.votes.record_reply("c1", answer(u1=True))
     assert not voted.is_silent
     voted.clock.time += 2.0
-    voted.votes.note_answer("c1", answer())
+    voted.votes.record_reply("c1", answer())
     assert voted.is_silent
 
 
-def test_control_host_that_answers_again_has_said_what_it_said_before():
+def test_vote_counts_again_once_control_host_answers():
     """Its answers tell only what has changed since its last one."""
     voted = Voted()
     for control_host in ("c0", "c1"):
-        voted.votes.note_answer(control_host, answer(u1=True))
+        voted.votes.record_reply(control_host, answer(u1=True))
     voted.clock.time += 25.0
-    voted.votes.note_answer("c1", answer())
-    voted.votes.note_answer("c0", answer())
+    voted.votes.record_reply("c1", answer())
+    voted.votes.record_reply("c0", answer())
     assert voted.is_silent
 
 
-def test_restarted_control_host_has_said_nothing_yet():
+def test_restarted_control_host_has_no_votes():
     voted = Voted()
-    voted.votes.note_answer("c0", answer(u1=True))
+    voted.votes.record_reply("c0", answer(u1=True))
     assert voted.is_silent
-    voted.votes.note_answer("c0", answer(epoch=2))
+    voted.votes.record_reply("c0", answer(epoch=2))
     assert not voted.is_silent
 
 
@@ -238,11 +238,11 @@
 
 
 @given(st.lists(ANSWERS, min_size=1, max_size=20))
-def test_silent_is_what_all_of_the_latest_answers_call_so(answers):
+def test_silent_requires_all_latest_votes(answers):
     voted = Voted()
     told: dict[str, bool] = {}
     for control_host, is_silent, epoch in answers:
-        voted.votes.note_answer(control_host, answer(epoch, u1=is_silent))
+        voted.votes.record_reply(control_host, answer(epoch, u1=is_silent))
         told[control_host] = is_silent
         assert voted.is_silent == all(told.values())
 
@@ -256,7 +256,7 @@
 
 
 @pytest.mark.parametrize("is_disk_lost", [False, True])
-async def test_restart_of_a_control_host_does_not_bring_an_ended_one_back(
+async def test_control_host_restart_keeps_ended_upstream_silent(
     autojump_clock, is_disk_lost
 ):
     async with open_world() as world:
@@ -271,7 +271,7 @@
                 assert working(host) == []
 
 
-async def test_entry_host_that_missed_a_control_host_keeps_to_what_all_say(
+async def test_reconnected_control_host_keeps_upstream_silent(
     autojump_clock,
 ):
     async with open_world() as world:
@@ -295,7 +295,7 @@
         assert working(world.entries["e9:1"]) == []
 
 
-async def test_silent_upstream_is_forgotten_by_all_hosts(autojump_clock, monkeypatch):
+async def test_silent_upstream_is_removed_on_all_hosts(autojump_clock, monkeypatch):
     for host in ("control_host", "entry_host"):
         name = f"pepperstep.programs.{host}._FORGET_SECONDS"
         monkeypatch.setattr(name, 30.0)
@@ -303,4 +303,4 @@
         await announce_once_and_fall_silent(world)
         await trio.sleep(32.0)
         for host in [*world.controls.values(), *world.entries.values()]:
-            assert host.book.all() == []
+            assert host.catalog.all() == []
--- a/tests/relaying/test_silent_upstreams.py
+++ b/tests/relaying/test_silent_upstreams.py
@@ -43,7 +43,7 @@
 
 def working(host) -> list[str]:
     """Return the upstreams of the plain service that a host counts on."""
-    return [each.id for each in host.book.working("plain")]
+    return [each.id for each in host.catalog.working("plain")]
 
 
 @pytest.mark.parametrize("cut_off", ["c0:1", "c1:1", "c2:1"])
@@ -69,7 +69,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_upstream_that_is_heard_of_again_is_used_again(autojump_clock):
+async def test_upstream_that_announces_itself_again_is_used(autojump_clock):
     async with open_world() as world, trio.open_nursery() as nursery:
         await world.announce("c0:1", "u0", "plain")
         await trio.sleep(LONG_SECONDS)
@@ -83,9 +83,7 @@
 
 
 @pytest.mark.parametrize("frozen", ["c1:1", "c2:1"])
-async def test_control_host_that_was_frozen_takes_no_upstream_for_ended(
-    autojump_clock, frozen
-):
+async def test_frozen_control_host_marks_no_upstream_silent(autojump_clock, frozen):
     async with open_world() as world, trio.open_nursery() as nursery:
         nursery.start_soon(keep_announcing, world, "c0:1", "u0")
         await trio.sleep(5.0)
@@ -101,9 +99,7 @@
 
 
 @pytest.mark.parametrize("cut_off", ["c0:1", "c3:1", "c5:1"])
-async def test_hosts_that_are_not_asked_by_an_entry_host_are_not_forgotten(
-    autojump_clock, cut_off
-):
+async def test_upstreams_of_unpolled_control_hosts_stay_in_use(autojump_clock, cut_off):
     """Entry hosts ask three of six control hosts, perhaps none that hears an upstream.
 
     Those that don't reach the host which heard it last can't call it silent, neither
@@ -124,7 +120,7 @@
             nursery.cancel_scope.cancel()
 
 
-async def test_upstream_that_goes_over_to_the_host_cut_off_stays_in_use(autojump_clock):
+async def test_upstream_that_moves_to_isolated_host_stays_in_use(autojump_clock):
     """The others heard of it last themselves, so all but one call it silent."""
     async with open_world() as world, trio.open_nursery() as nursery:
         with trio.move_on_after(5.0):
--- a/tests/relaying/test_table_changes.py
+++ b/tests/relaying/test_table_changes.py
@@ -10,7 +10,7 @@
 import pytest
 import trio
 
-from tests.relaying.test_size import is_in_force, wait_for
+from tests.relaying.test_size import is_applied, wait_for
 from tests.relaying.world import document, open_world
 
 ENTRIES = 55
@@ -76,22 +76,22 @@
         slow_links(world)
         await trio.sleep(2.0)
         await world.put(2, document_with(2, routes(MANY_ROUTES)))
-        await wait_for(lambda: is_in_force(world, 2), MANY_IN_FORCE_SECONDS)
+        await wait_for(lambda: is_applied(world, 2), MANY_IN_FORCE_SECONDS)
 
 
 @pytest.mark.parametrize("place", [0, MANY_ROUTES // 2, -1])
-async def test_small_change_on_top_of_them_is_small(autojump_clock, place):
+async def test_small_change_of_large_table_is_small(autojump_clock, place):
     async with open_slow_world() as world:
         slow_links(world)
         added = routes(MANY_ROUTES)
         await world.put(2, document_with(2, added))
-        await wait_for(lambda: is_in_force(world, 2), 5.0)
+        await wait_for(lambda: is_applied(world, 2), 5.0)
         await trio.sleep(2.0)
         added[place]["timeout_ms"] = 2500
         at_rest = await bytes_at_rest(world)
         before = table_bytes(world)
         await world.put(3, document_with(3, added))
-        seconds = await wait_for(lambda: is_in_force(world, 3), SMALL_IN_FORCE_SECONDS)
+        seconds = await wait_for(lambda: is_applied(world, 3), SMALL_IN_FORCE_SECONDS)
         cost = table_bytes(world) - before - at_rest * (seconds + 1.0)
         assert cost <= SMALL_CHANGE_BYTES * ENTRIES
 
@@ -112,10 +112,10 @@
             await trio.sleep(0.33)
             added[version]["timeout_ms"] = 2000 + version
             await world.put(version, document_with(version, added))
-        await wait_for(lambda: is_in_force(world, 14), SMALL_IN_FORCE_SECONDS)
+        await wait_for(lambda: is_applied(world, 14), SMALL_IN_FORCE_SECONDS)
 
 
-async def test_many_routes_while_the_leader_is_cut_off(autojump_clock):
+async def test_many_routes_during_leader_isolation(autojump_clock):
     async with open_slow_world() as world:
         slow_links(world)
         await trio.sleep(2.0)
@@ -131,10 +131,10 @@
                     await trio.sleep(0.1)
                 else:
                     break
-        await wait_for(lambda: is_in_force(world, 2), 2 * MANY_IN_FORCE_SECONDS)
+        await wait_for(lambda: is_applied(world, 2), 2 * MANY_IN_FORCE_SECONDS)
 
 
-async def test_host_that_has_nothing_gets_a_huge_table(autojump_clock):
+async def test_new_host_receives_a_huge_table(autojump_clock):
     """Within 2.5 s of its link's time for the compressed document."""
     async with open_slow_world(entries=2) as world:
         data = document_with(2, routes(HUGE_ROUTES))
@@ -148,7 +148,7 @@
         await wait_for(lambda: late.tables.current.version == 2, link_seconds + 2.5)
 
 
-async def test_all_hosts_that_start_with_nothing(autojump_clock):
+async def test_all_hosts_start_without_a_table(autojump_clock):
     async with open_slow_world() as world:
         await world.put(2, document_with(2, routes(MANY_ROUTES)))
         await trio.sleep(1.0)
@@ -159,10 +159,10 @@
         slow_links(world, names)
         for name in names:
             await world.start_entry(name, seeds)
-        await wait_for(lambda: is_in_force(world, 2), MANY_IN_FORCE_SECONDS)
+        await wait_for(lambda: is_applied(world, 2), MANY_IN_FORCE_SECONDS)
 
 
-async def test_transfer_goes_on_at_another_control_host(autojump_clock):
+async def test_transfer_continues_at_another_control_host(autojump_clock):
     """The control host that a table is fetched from is lost amid it."""
     async with open_slow_world(entries=1) as world:
         data = document_with(2, routes(HUGE_ROUTES // 4))
--- a/tests/relaying/test_table_updates.py
+++ b/tests/relaying/test_table_updates.py
@@ -40,7 +40,7 @@
 # Machine.
 
 
-def test_step_from_another_version_asks_for_the_whole():
+def test_step_from_other_version_needs_whole_document():
     seen = []
     machine = TableMachine(seen.append)
     first, second, third = (make_document(version) for version in (1, 2, 3))
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("update", [b"", b"x", compress(b"\xff"), compress(b"")])
-def test_what_is_no_update_changes_nothing(update):
+def test_invalid_update_changes_nothing(update):
     machine = TableMachine(lambda document: None)
     apply(machine, 1, encode_whole(make_document(1)))
     assert apply(machine, 2, update).needs_whole
@@ -75,7 +75,7 @@
     assert other.document == machine.document
 
 
-def test_step_that_leads_to_other_bytes_is_refused():
+def test_step_with_wrong_digest_is_refused():
     first, second = make_document(1), make_document(2)
     step = make_step(first, second)
     step.digest ^= 1
@@ -83,7 +83,7 @@
         apply_update(first, encode_steps([step]))
 
 
-def test_update_without_its_end_is_refused():
+def test_truncated_update_is_refused():
     with pytest.raises(Failure, match="end is missing"):
         apply_update(Document(), encode_whole(make_document(1))[:-5])
 
@@ -102,11 +102,11 @@
     return apply_update(held, data)
 
 
-def test_history_gives_steps_and_the_whole_to_who_is_too_far_behind():
+def test_history_serves_steps_or_the_whole_document():
     history = TableHistory()
     documents = [make_document(version, 50 + version) for version in range(1, 300)]
     for document in documents:
-        history.note(document)
+        history.add(document)
     for held in (Document(), documents[0], documents[100], documents[-2]):
         assert fetch_all(history, held) == documents[-1]
     assert not history.part_for(pb.TableRequest(from_version=299)).data
@@ -115,13 +115,13 @@
     assert small.size < whole.size / 5
 
 
-def test_update_that_is_overtaken_while_it_is_fetched_goes_on():
+def test_superseded_update_can_be_completed():
     history = TableHistory()
     documents = [make_document(version, 3000) for version in (1, 2)]
-    history.note(documents[0])
+    history.add(documents[0])
     first = history.part_for(pb.TableRequest())
     assert len(first.data) < first.size
-    history.note(documents[1])
+    history.add(documents[1])
     second = history.part_for(
         pb.TableRequest(digest=first.digest, offset=len(first.data))
     )
@@ -129,9 +129,9 @@
 
 
 @pytest.mark.parametrize("offset", [0, 5, 2**32 - 1])
-def test_unknown_digest_and_offset_begin_anew(offset):
+def test_unknown_digest_restarts_the_transfer(offset):
     history = TableHistory()
-    history.note(make_document(1))
+    history.add(make_document(1))
     part = history.part_for(pb.TableRequest(digest=77, offset=offset))
     assert part.offset == 0
     assert part.data
@@ -156,7 +156,7 @@
     def add(self, name, *documents, answer=None):
         history = self.histories[name] = TableHistory()
         for document in documents:
-            history.note(document)
+            history.add(document)
         peers = FakePeers(name, self.network, self._timers, self._nursery)
 
         async def on_request(request, sender):
@@ -172,7 +172,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_control_host_that_tells_nonsense_is_passed_over(site):
+async def test_control_host_with_bad_updates_is_skipped(site):
     site.add("a", answer=pb.TablePart(version=10**6))
     site.add("b", answer=pb.TablePart(version=9, digest=1, size=3, data=b"abc"))
     site.add("c", make_document(2))
@@ -186,7 +186,7 @@
     assert site.network.sent["TableRequest"] - before <= 25
 
 
-async def test_generation_that_is_older_changes_nothing(site):
+async def test_older_version_changes_nothing(site):
     site.add("a", make_document(5))
     site.fetcher.note_told("a", 5)
     await trio.sleep(1.0)
--- a/tests/relaying/test_sight.py
+++ b/tests/relaying/test_upstream_events.py
@@ -35,24 +35,24 @@
     return {(each.state_before, each.state, each.told_by) for each in changes}
 
 
-async def test_lines_say_by_whose_word_an_upstream_is_gone(autojump_clock, events):
+async def test_events_name_the_source_of_a_gone_upstream(autojump_clock, events):
     async with open_world() as world:
         await world.announce("c0:1", "u1", "plain")
         await trio.sleep(1.0)
         assert ("", "working", "itself") in states(events)
         assert ("", "working", "c0:1") in states(events)
         events.clear()
-        await world.controls["c1:1"].note_gone("u1")
+        await world.controls["c1:1"].mark_gone("u1")
         await trio.sleep(1.0)
         assert ("working", "gone", "itself") in states(events)
         assert ("working", "gone", "c1:1") in states(events)
 
 
-async def test_line_tells_how_old_the_last_announcement_is(autojump_clock, events):
+async def test_event_has_age_of_last_announcement(autojump_clock, events):
     async with open_world() as world:
         await world.announce("c0:1", "u1", "plain", sequence=7)
         await trio.sleep(3.0)
-        await world.controls["c1:1"].note_gone("u1")
+        await world.controls["c1:1"].mark_gone("u1")
         gone = [
             each
             for each in events
@@ -62,7 +62,7 @@
         assert 2_900 <= gone[0].announced_ms_ago <= 3_100
 
 
-async def test_line_names_that_another_one_answers(autojump_clock, events):
+async def test_event_for_answer_of_another_upstream(autojump_clock, events):
     headers = (
         (b"pepperstep-attempt-id", b"id-1"),
         (b"pepperstep-replica-id", b"u2"),
@@ -76,7 +76,7 @@
         assert ("working", "gone", "answer") in states(events)
 
 
-async def test_refusal_tells_its_service_and_what_is_left_of_it(autojump_clock, events):
+async def test_refusal_event_has_service_and_upstreams(autojump_clock, events):
     async with open_world() as world:
         await world.announce("c0:1", "u1", "model")
         await trio.sleep(1.0)
@@ -85,7 +85,7 @@
         assert (refused.service, refused.upstreams, refused.target) == ("plain", 0, "")
 
 
-async def test_refusal_tells_what_no_route_led_to(autojump_clock, events):
+async def test_refusal_event_has_unrouted_target(autojump_clock, events):
     async with open_world() as world:
         await world.ask("e0:1", request("/nowhere/1?key=secret"))
         await world.ask("e0:1", request("/nowhere/" + 200 * "x"))
@@ -98,13 +98,13 @@
     async with open_world() as world:
         await world.announce("c0:1", "u1", "plain")
         await world.announce("c0:1", "u2", "plain")
-        await world.controls["c0:1"].note_gone("u2")
+        await world.controls["c0:1"].mark_gone("u2")
         await trio.sleep(1.0)
         for host in [*world.controls.values(), *world.entries.values()]:
             assert "pepperstep_upstreams 1.0" in host.metrics.render().decode()
 
 
-async def test_lines_and_metrics_tell_of_a_stated_limit(autojump_clock, events):
+async def test_stated_limit_is_in_events_and_metrics(autojump_clock, events):
     limit = [(b"server-limit", b"2.5")]
 
     def answer(sent) -> Reply:
@@ -130,9 +130,7 @@
     assert control_hosts & told
 
 
-async def test_line_names_the_answer_that_says_its_upstream_leaves(
-    autojump_clock, events
-):
+async def test_event_names_the_answer_that_states_leaving(autojump_clock, events):
     headers = ((b"pepperstep-attempt-id", b"id-1"), (b"server-leaving", b"1"))
     async with open_world(entries=1) as world:
         reply = Reply(AnswerHead(200, headers), (b"x",))
@@ -145,9 +143,7 @@
     assert ("working", "leaving", "answer") in states(events)
 
 
-async def test_line_says_who_knows_of_a_leaving_that_is_acknowledged(
-    autojump_clock, events
-):
+async def test_event_names_hosts_that_stored_a_departure(autojump_clock, events):
     async with open_world() as world:
         await world.announce("c0:1", "u1", "plain")
         await trio.sleep(1.0)
@@ -155,7 +151,7 @@
             await world.announce(
                 "c0:1", "u1", "plain", sequence=sequence, is_leaving=True
             )
-        await world.controls["c1:1"].note_gone("u1")
+        await world.controls["c1:1"].mark_gone("u1")
     first, repeat, end = (
         each for each in events if isinstance(each, LeavingAcknowledged)
     )
@@ -165,7 +161,7 @@
     assert (end.is_gone, end.is_repeat) == (True, False)
 
 
-async def test_line_says_what_a_retry_was_decided_by(autojump_clock, events):
+async def test_event_has_inputs_of_retry_decision(autojump_clock, events):
     async with open_world(entries=2) as world:
         for name in ("u1", "u2"):
             await world.announce("c0:1", name, "plain")
--- a/tests/relaying/test_upstream_restarts.py
+++ b/tests/relaying/test_upstream_restarts.py
@@ -6,7 +6,7 @@
 import trio
 from hypothesis import HealthCheck, given, settings, strategies as st
 
-from pepperstep.coordination import Announcement, UpstreamBook
+from pepperstep.coordination import Announcement, UpstreamCatalog
 from pepperstep.errors import Code, Failure
 from pepperstep.fakes.relaying import FakeExchange, Reply
 from pepperstep.platform import ControlHandler
@@ -39,56 +39,54 @@
 
 
 async def test_later_start_replaces_all_that_was_known(autojump_clock):
-    book = UpstreamBook(trio.current_time)
-    book.note(announcement(is_leaving=True, warmup=2.0))
-    book.note_gone("u1")
+    catalog = UpstreamCatalog(trio.current_time)
+    catalog.record(announcement(is_leaving=True, warmup=2.0))
+    catalog.mark_gone("u1")
     again = announcement(incarnation=AFTER, sequence=1, address="u1:81")
-    assert book.note(again)
-    assert book.working("plain") == [again]
+    assert catalog.record(again)
+    assert catalog.working("plain") == [again]
 
 
 async def test_announcement_of_an_earlier_start_changes_nothing(autojump_clock):
-    book = UpstreamBook(trio.current_time)
+    catalog = UpstreamCatalog(trio.current_time)
     again = announcement(incarnation=AFTER, sequence=1)
-    book.note(again)
-    heard_at = book.age("u1")
+    catalog.record(again)
+    heard_at = catalog.age("u1")
     await trio.sleep(2.0)
-    assert not book.note(announcement(sequence=99, is_leaving=True))
-    assert not book.note(announcement(sequence=99, incarnation=0))
-    assert book.working("plain") == [again]
-    assert book.age("u1") == heard_at + 2.0
+    assert not catalog.record(announcement(sequence=99, is_leaving=True))
+    assert not catalog.record(announcement(sequence=99, incarnation=0))
+    assert catalog.working("plain") == [again]
+    assert catalog.age("u1") == heard_at + 2.0
 
 
 async def test_end_of_an_earlier_start_does_not_end_the_later_one(autojump_clock):
-    book = UpstreamBook(trio.current_time)
+    catalog = UpstreamCatalog(trio.current_time)
     again = announcement(incarnation=AFTER, sequence=1)
-    book.note(again)
-    book.note_gone("u1", BEFORE)
-    assert book.working("plain") == [again]
-    book.note_gone("u1", AFTER)
-    assert book.working("plain") == []
-
-
-async def test_upstream_that_started_again_is_not_forgotten_among_gone_ones(
-    autojump_clock, monkeypatch
-):
-    monkeypatch.setattr("pepperstep.coordination.upstream_book._MAX_GONE", 1)
-    book = UpstreamBook(trio.current_time)
-    book.note(announcement())
-    book.note_gone("u1")
+    catalog.record(again)
+    catalog.mark_gone("u1", BEFORE)
+    assert catalog.working("plain") == [again]
+    catalog.mark_gone("u1", AFTER)
+    assert catalog.working("plain") == []
+
+
+async def test_restarted_upstream_is_not_removed_as_gone(autojump_clock, monkeypatch):
+    monkeypatch.setattr("pepperstep.coordination.upstream_catalog._MAX_GONE", 1)
+    catalog = UpstreamCatalog(trio.current_time)
+    catalog.record(announcement())
+    catalog.mark_gone("u1")
     again = announcement(incarnation=AFTER, sequence=1)
-    book.note(again)
-    book.note_gone("u2")
-    book.note_gone("u3")
-    assert book.working("plain") == [again]
+    catalog.record(again)
+    catalog.mark_gone("u2")
+    catalog.mark_gone("u3")
+    assert catalog.working("plain") == [again]
 
 
 async def test_service_does_not_change_within_a_start(autojump_clock):
-    book = UpstreamBook(trio.current_time)
-    book.note(announcement())
-    assert not book.note(announcement(service="model", sequence=9))
-    assert not book.note(announcement(service="?", sequence=9, is_leaving=True))
-    assert book.working("plain") == [announcement()]
+    catalog = UpstreamCatalog(trio.current_time)
+    catalog.record(announcement())
+    assert not catalog.record(announcement(service="model", sequence=9))
+    assert not catalog.record(announcement(service="?", sequence=9, is_leaving=True))
+    assert catalog.working("plain") == [announcement()]
 
 
 LIVES = st.lists(
@@ -114,11 +112,11 @@
         return
     shuffled = [*heard, *heard]
     order.shuffle(shuffled)
-    book = UpstreamBook(lambda: 0.0)
+    catalog = UpstreamCatalog(lambda: 0.0)
     for each in shuffled:
-        before = book.get("u1")
-        book.note(each)
-        now = book.get("u1")
+        before = catalog.get("u1")
+        catalog.record(each)
+        now = catalog.get("u1")
         if before is not None:
             assert now.incarnation >= before.incarnation
             if now.incarnation == before.incarnation:
@@ -127,14 +125,14 @@
                 assert now.service == before.service
     latest = max(each.incarnation for each in heard)
     alive = [each for each in heard if each.incarnation == latest]
-    known = book.get("u1")
+    known = catalog.get("u1")
     assert known.incarnation == latest
     if {each.service for each in alive} == {known.service}:
         assert known.sequence == max(each.sequence for each in alive)
         assert known.is_leaving == any(each.is_leaving for each in alive)
 
 
-async def test_entry_host_forgets_what_a_restarted_upstream_kept(autojump_clock):
+async def test_entry_host_drops_cache_state_of_restarted_upstream(autojump_clock):
     async with open_world() as world:
         await world.put(1)
         entry = world.entries["e0:1"]
@@ -144,7 +142,7 @@
         prompt = (b"pepperstep-prompt-prefix", b"aa:5000,bb:3000")
         for _ in range(2):
             await world.ask("e0:1", request("/stream/x", prompt))
-        [upstream] = entry.book.working("model")
+        [upstream] = entry.catalog.working("model")
         prompts = entry._chooser._prompts
         parts = entry.relay._wire.read_request(
             request("/stream/x", prompt)
@@ -152,12 +150,12 @@
         assert prompts.missing_tokens(upstream.key, parts) == 0
         await world.announce("c0:1", "u1", "model", sequence=1, incarnation=AFTER)
         await trio.sleep(1.0)
-        [upstream] = entry.book.working("model")
+        [upstream] = entry.catalog.working("model")
         assert upstream.incarnation == AFTER
         assert prompts.missing_tokens(upstream.key, parts) == 8000
 
 
-async def test_request_at_an_upstream_that_starts_again_is_sent_on_at_once(
+async def test_request_at_restarted_upstream_is_retried_at_once(
     autojump_clock,
 ):
     async with open_world() as world:
@@ -181,7 +179,7 @@
         assert [each.status for each in got] == [200]
 
 
-async def test_leaving_is_told_again_by_a_later_start(autojump_clock):
+async def test_later_incarnation_can_leave_again(autojump_clock):
     async with open_world() as world:
         await world.announce("c1:1", "u1", "plain", incarnation=BEFORE)
         await world.announce(
@@ -195,7 +193,7 @@
         world.kill("c1:1")
         await trio.sleep(1.0)
         for host in world.entries.values():
-            assert host.book.working("plain") == []
+            assert host.catalog.working("plain") == []
 
 
 async def beat(host, body: bytes, upstream: str = "i-1", call: str = "Heartbeat"):
@@ -218,30 +216,30 @@
 
 
 @pytest.mark.parametrize("changes", FOREIGN)
-async def test_heartbeat_of_another_writer_names_no_upstream(autojump_clock, changes):
+async def test_invalid_heartbeat_adds_no_upstream(autojump_clock, changes):
     async with open_world() as world:
         await world.put(1)
         await trio.sleep(0.5)
         host = world.controls["c0:1"]
         assert await beat(host, json.dumps(BEAT).encode()) == 200
-        [known] = host.book.working("plain")
+        [known] = host.catalog.working("plain")
         foreign = json.dumps(BEAT | {"sequence": 9} | changes).encode()
         assert await beat(host, foreign, "i-2") == 400
         assert await beat(host, foreign) in (200, 400)
-        assert host.book.all() == [known]
+        assert host.catalog.all() == [known]
 
 
 @pytest.mark.parametrize(
     "missing", ["service", "address", "zone", "slots", "state", "sequence"]
 )
-async def test_heartbeat_without_a_field_names_no_upstream(autojump_clock, missing):
+async def test_heartbeat_without_a_field_adds_no_upstream(autojump_clock, missing):
     async with open_world() as world:
         await world.put(1)
         await trio.sleep(0.5)
         host = world.controls["c0:1"]
         body = {name: value for name, value in BEAT.items() if name != missing}
         assert await beat(host, json.dumps(body).encode()) == 400
-        assert host.book.all() == []
+        assert host.catalog.all() == []
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
@@ -250,17 +248,17 @@
     noise=st.binary(max_size=6),
     path=st.sampled_from(["Heartbeat", "Deregister"]),
 )
-def test_bytes_that_are_no_message_are_refused(cut, noise, path):
+def test_corrupt_messages_are_refused(cut, noise, path):
     body = json.dumps(BEAT).encode()
     body = body[:cut] + noise + body[cut + len(noise) :]
 
     class Taken:
         """Takes whatever the border lets through."""
 
-        async def note_announcement(self, announcement):
+        async def receive_announcement(self, announcement):
             announcement.to_message()
 
-        async def note_gone(self, upstream, incarnation):
+        async def mark_gone(self, upstream, incarnation):
             pass
 
     assert trio.run(beat, Taken(), body, "i-1", path) in (200, 400)
@@ -273,20 +271,20 @@
         assert await beat(host, b'{"born": 1.5}', call="Deregister") == 400
 
 
-async def test_upstream_of_a_service_that_no_table_names_is_refused(autojump_clock):
+async def test_upstream_of_unknown_service_is_refused(autojump_clock):
     services = [{"name": name} for name in ("plain", "model", "later")]
     async with open_world() as world:
         host = world.controls["c0:1"]
         await world.put(5, document(5, services=services))
         await trio.sleep(0.5)
-        await host.note_announcement(announcement(service="later"))
+        await host.receive_announcement(announcement(service="later"))
         await world.put(6)
         await trio.sleep(0.5)
         # One that is known may still say that it leaves.
-        await host.note_announcement(
+        await host.receive_announcement(
             announcement(service="later", sequence=8, is_leaving=True)
         )
         with pytest.raises(Failure) as caught:
             unknown = Announcement("u2", "later", "u2:80", "z1")
-            await host.note_announcement(unknown)
+            await host.receive_announcement(unknown)
         assert caught.value.code is Code.INVALID_REQUEST
--- a/tests/relaying/test_upstream_views.py
+++ b/tests/relaying/test_upstream_views.py
@@ -62,7 +62,7 @@
                 await trio.sleep(0.3)
                 continue
             try:
-                await self._world.controls[host].note_gone(upstream)
+                await self._world.controls[host].mark_gone(upstream)
             except Failure:
                 await trio.sleep(0.3)
             else:
@@ -98,7 +98,7 @@
         """Raise unless entry hosts count on what lives, and on nothing that ended."""
         now = trio.current_time()
         for name, entry in self._world.entries.items():
-            working = {each.id for each in entry.book.working("plain")}
+            working = {each.id for each in entry.catalog.working("plain")}
             for upstream, (first, last) in self.heard.items():
                 lives = now - last < 2 * HEARTBEAT_SECONDS
                 if upstream in self.ending or upstream in self.crashed_at:
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-async def test_entry_hosts_count_on_all_upstreams_that_live(autojump_clock, seed):
+async def test_entry_hosts_use_all_live_upstreams(autojump_clock, seed):
     async with open_world(seed=seed) as world, trio.open_nursery() as nursery:
         views = Views(world, seed)
         for number in range(6):
@@ -127,7 +127,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_upstream_that_crashed_counts_as_silent_beside_a_short_cut(
+async def test_crashed_upstream_becomes_silent_despite_a_short_cut(
     autojump_clock,
 ):
     async with open_world() as world, trio.open_nursery() as nursery:
@@ -138,5 +138,5 @@
         await views._cut("c0:1", 5.0)
         await trio.sleep(SILENT_SECONDS - 5.0)
         for entry in world.entries.values():
-            assert entry.book.working("plain") == []
+            assert entry.catalog.working("plain") == []
         nursery.cancel_scope.cancel()
--- a/tests/relaying/world.py
+++ b/tests/relaying/world.py
@@ -147,7 +147,7 @@
         defaults = {"address": f"{upstream}:80", "zone": "z1", "slots": 4}
         defaults |= {"sequence": 1} | facts
         announcement = Announcement(upstream, service, **defaults)
-        await self.controls[host].note_announcement(announcement)
+        await self.controls[host].receive_announcement(announcement)
 
     async def ask(self, entry: str, head: RequestHead, body=b"") -> FakeExchange:
         """Send a caller's request and return what the caller got."""
--- a/tests/requests/test_answer_check.py
+++ b/tests/requests/test_answer_check.py
@@ -17,7 +17,7 @@
     def __init__(self):
         self.faults = Counter()
 
-    def note_chunk_fault(self, fault: ChunkFault) -> None:
+    def record_chunk_fault(self, fault: ChunkFault) -> None:
         """Count one fault."""
         self.faults[fault] += 1
 
--- a/tests/rollouts/simulator.py
+++ b/tests/rollouts/simulator.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from pepperstep.rollouts.judgement import Verdict, judge
+from pepperstep.rollouts.evaluation import Verdict, judge
 from pepperstep.rollouts.outcomes import Outcomes, speed_class
 from pepperstep.rollouts.plan import ExposureBound, Situation, next_move
 from pepperstep.rollouts.records import Rollout, RolloutState
--- a/tests/rollouts/test_judgement.py
+++ b/tests/rollouts/test_evaluation.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from pepperstep.rollouts.judgement import judge
+from pepperstep.rollouts.evaluation import judge
 from pepperstep.rollouts.outcomes import Outcomes
 from pepperstep.rollouts.records import RolloutState
 from tests.rollouts.simulator import Scene, play
--- a/tests/rollouts/test_hosts.py
+++ b/tests/rollouts/test_hosts.py
@@ -290,5 +290,5 @@
         late = await release.world.start_entry("late:1", seeds)
         await trio.sleep(0.5)
         assert release.world.leader == ""
-        assert late.book.usable("plain")
+        assert late.catalog.usable("plain")
         assert late.versions.get("plain") == before
--- a/tests/rollouts/test_observer.py
+++ b/tests/rollouts/test_observer.py
@@ -35,7 +35,7 @@
         return pb.RolloutEvidenceReply(is_judge=self.is_judge)
 
     def end(self, upstream, seconds=0.02):
-        self.observer.note_outcome(ROLLOUT, "a", upstream, seconds, 0.0)
+        self.observer.record_outcome(ROLLOUT, "a", upstream, seconds, 0.0)
 
     @property
     def is_judged(self):
--- a/tests/rollouts/test_plan.py
+++ b/tests/rollouts/test_plan.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from pepperstep.rollouts.judgement import Verdict
+from pepperstep.rollouts.evaluation import Verdict
 from pepperstep.rollouts.plan import ExposureBound, Situation, next_move
 from pepperstep.rollouts.records import Rollout, RolloutState
 
--- a/tests/rollouts/test_versions.py
+++ b/tests/rollouts/test_versions.py
@@ -18,10 +18,10 @@
 
     def see(self, upstreams):
         for each in upstreams:
-            self.split.note_upstream(each)
+            self.split.observe_upstream(each)
 
-    def take(self, index=1, **fields):
-        self.split.take(Rollout("s", 1, "v2", 12.0, 0.0, 0.0, index=index, **fields))
+    def update(self, index=1, **fields):
+        self.split.update(Rollout("s", 1, "v2", 12.0, 0.0, 0.0, index=index, **fields))
 
     def select(self, name=b"r", tried=(), upstreams=(*OLD, *NEW)):
         facts = RequestFacts(name)
@@ -41,12 +41,12 @@
 
 
 def test_requests_are_split_by_the_share(host):
-    host.take(share=0.2)
+    host.update(share=0.2)
     assert host.share() == pytest.approx(0.2, abs=0.04)
 
 
 def test_nothing_goes_to_a_version_that_nobody_judges(host):
-    host.take(share=0.2)
+    host.update(share=0.2)
     host.is_judged = False
     assert host.share() == 0.0
 
@@ -55,7 +55,7 @@
     parts = [(PromptPart("a", 9), PromptPart(f"p{number}", 9)) for number in range(300)]
     before = set()
     for index, share in enumerate((0.05, 0.2, 0.6, 1.0), start=1):
-        host.take(index=index, share=share)
+        host.update(index=index, share=share)
         now = {
             part[-1].id
             for part in parts
@@ -68,7 +68,7 @@
 
 
 def test_what_the_new_version_failed_goes_to_the_others(host):
-    host.take(share=1.0)
+    host.update(share=1.0)
     assert host.select() == {"v2"}
     assert host.select(tried={NEW[0].key}) == {"v1"}
 
@@ -82,13 +82,13 @@
     ],
 )
 def test_versions_by_state(host, state, share, replaced, expected):
-    host.take(state=state, share=share, replaced=replaced)
+    host.update(state=state, share=share, replaced=replaced)
     assert host.select() == expected
 
 
 def test_late_word_of_a_roll_out_changes_nothing(host):
-    host.take(index=7, state=RolloutState.ROLLED_BACK)
-    host.take(index=3, share=0.5)
+    host.update(index=7, state=RolloutState.ROLLED_BACK)
+    host.update(index=3, share=0.5)
     assert host.share() == 0.0
 
 
--- a/tests/routing/sites.py
+++ b/tests/routing/harness.py
@@ -115,9 +115,9 @@
         self.started.append(request.id)
         with placement:
             await trio.sleep(first)
-            placement.note_tokens(1)
+            placement.record_tokens(1)
             await trio.sleep(hold - first)
-            placement.note_answered(EndMark("", request.max_tokens, "length"))
+            placement.record_answer(EndMark("", request.max_tokens, "length"))
         return placement.upstream.name
 
     async def fail(self, name: str, excluded=NONE, **options) -> str:
@@ -127,8 +127,8 @@
         with placement:
             await trio.sleep(0.05)
             if placement.upstream.name == name:
-                placement.note_lost()
+                placement.record_loss()
             else:
-                placement.note_tokens(1)
-                placement.note_answered(EndMark("", 50, "length"))
+                placement.record_tokens(1)
+                placement.record_answer(EndMark("", 50, "length"))
         return placement.upstream.name
--- a/tests/routing/test_breakers.py
+++ b/tests/routing/test_breakers.py
@@ -106,8 +106,8 @@
                 with placement:
                     name = placement.upstream.name
                     await trio.sleep(2.0 if name in slow else 0.05)
-                    placement.note_tokens(1)
-                    placement.note_answered(EndMark("", 50, "length"))
+                    placement.record_tokens(1)
+                    placement.record_answer(EndMark("", 50, "length"))
         ejected = {u.name for u in site.router.status.upstreams if u.ejections}
         assert ejected == expected
 
--- a/tests/routing/test_placement.py
+++ b/tests/routing/test_placement.py
@@ -168,8 +168,8 @@
         assert placement.upstream.name == "a"
         with placement:
             await trio.sleep(3)
-            placement.note_tokens(1)
-            placement.note_answered(EndMark("", 50, "length"))
+            placement.record_tokens(1)
+            placement.record_answer(EndMark("", 50, "length"))
         if len(site.router.explain("r1")) and placement.tracked.excess.at(3) > 0.3:
             break
     assert (await site.place()).upstream.name == "b"
@@ -218,6 +218,6 @@
         await trio.sleep(0.5)
         assert len(site.started) == 1
         with placement:
-            placement.note_answered(EndMark("", 50, "length"))
+            placement.record_answer(EndMark("", 50, "length"))
     assert len(site.started) == 2
     assert (site.router.status.in_flight, site.router.status.waiting) == (0, 0)
--- a/tests/routing/test_queue.py
+++ b/tests/routing/test_queue.py
@@ -218,7 +218,7 @@
     with placement:
         for step in range(200):
             await trio.sleep(0.02 if step < 50 else 0.1)
-            placement.note_tokens(1)
+            placement.record_tokens(1)
     assert site.router.status.upstreams[0].limit < 8
 
 
--- a/tests/routing/test_retries.py
+++ b/tests/routing/test_retries.py
@@ -76,17 +76,17 @@
     with placement:
         await trio.sleep(0.01)
         if "retry_after" in notes:
-            placement.note_refused(notes["retry_after"])
+            placement.record_refusal(notes["retry_after"])
         else:
-            placement.note_lost()
+            placement.record_loss()
     return placement.upstream.name
 
 
 async def answer(site: Site) -> None:
     placement = await site.place()
     with placement:
-        placement.note_tokens(1)
-        placement.note_answered(EndMark("", 1, "length"))
+        placement.record_tokens(1)
+        placement.record_answer(EndMark("", 1, "length"))
 
 
 @pytest.mark.parametrize(
