--- a/src/pepperstep/adapters/http1/metrics.py
+++ b/src/pepperstep/adapters/http1/metrics.py
@@ -1,15 +1,15 @@
-"""Metrics of a host over HTTP."""
+"""HTTP endpoint for a host's metrics."""
 
 from pepperstep.observability.relay_metrics import RelayMetrics
 from pepperstep.ports.exchange import Answer, Exchange
 
-__all__ = ["MetricsCalls"]
+__all__ = ["MetricsHandler"]
 
 _PATH = b"/metrics"
 
 
-class MetricsCalls:
-    """Answers scrapes with all metrics as text."""
+class MetricsHandler:
+    """Serves all metrics in the text exposition format at `/metrics`."""
 
     def __init__(self, metrics: RelayMetrics):
         self._metrics = metrics
--- a/src/pepperstep/platform/__init__.py
+++ b/src/pepperstep/platform/__init__.py
@@ -1,14 +1,14 @@
-"""What speaks to the users' platform: its names, formats and calls.
+"""Adapter for the users' platform: its names, message formats and calls.
 
-Everything here decodes their messages once into the product's types, or back;
-it decides nothing. No other folder knows their words.
+The modules convert between the platform's messages and the types of pepperstep, and
+make no decisions. No other package uses the platform's names.
 """
 
 from pepperstep.platform.calls import (
-    ControlCalls,
-    DirectoryCalls,
+    ControlHandler,
+    DirectoryHandler,
     Operations,
-    ReadinessCalls,
+    ReadinessHandler,
 )
 from pepperstep.platform.cloud import PlatformCloud
 from pepperstep.platform.documents import TableDecoder, decode_table
@@ -17,12 +17,12 @@
 
 __all__ = [
     "SETTINGS_VARIABLE",
-    "ControlCalls",
-    "DirectoryCalls",
+    "ControlHandler",
+    "DirectoryHandler",
     "Operations",
     "PlatformCloud",
     "PlatformWire",
-    "ReadinessCalls",
+    "ReadinessHandler",
     "TableDecoder",
     "decode_table",
     "read_platform_settings",
--- a/src/pepperstep/programs/relay_daemon.py
+++ b/src/pepperstep/programs/relay_daemon.py
@@ -18,19 +18,19 @@
 
 from pepperstep.adapters.files import FolderStorage
 from pepperstep.adapters.grpc_peers import GrpcPeers
-from pepperstep.adapters.http1 import Http1Connector, Http1Server, MetricsCalls
-from pepperstep.adapters.line_handler import set_up_lines
+from pepperstep.adapters.http1 import Http1Connector, Http1Server, MetricsHandler
+from pepperstep.adapters.json_line_handler import set_up_json_logging
 from pepperstep.adapters.timers import TrioTimers
 from pepperstep.entities.routes import CallerLimits
 from pepperstep.errors import Failure, InvalidDocument
 from pepperstep.observability.relay_metrics import RelayMetrics
 from pepperstep.platform import (
     SETTINGS_VARIABLE,
-    ControlCalls,
-    DirectoryCalls,
+    ControlHandler,
+    DirectoryHandler,
     PlatformCloud,
     PlatformWire,
-    ReadinessCalls,
+    ReadinessHandler,
     TableDecoder,
     read_platform_settings,
 )
@@ -69,7 +69,7 @@
     if _CHECK in arguments:
         print("The settings are valid.")
         return
-    set_up_lines(settings.host)
+    set_up_json_logging(settings.host)
     try:
         trio.run(_run, settings)
     except* OSError as errors:
@@ -171,7 +171,7 @@
     nursery: trio.Nursery,
 ) -> None:
     role = settings.control
-    handler = ControlCalls(control, decoder)
+    handler = ControlHandler(control, decoder)
     server = Http1Server(
         role.operator_address, handler.handle, lambda: _OPERATOR_LIMITS, timers.now
     )
@@ -191,7 +191,7 @@
     nursery: trio.Nursery,
 ) -> None:
     time_to_live = min(_DIRECTORY_SECONDS, settings.bounds.directory_seconds)
-    handler = DirectoryCalls(host, time_to_live)
+    handler = DirectoryHandler(host, time_to_live)
     server = Http1Server(address, handler.handle, CallerLimits, timers.now)
     await nursery.start(server.run)
 
@@ -211,7 +211,7 @@
     )
     await nursery.start(server.run)
     if role.readiness_address:
-        readiness = ReadinessCalls(lambda: entry.is_ready)
+        readiness = ReadinessHandler(lambda: entry.is_ready)
         readiness_server = Http1Server(
             role.readiness_address, readiness.handle, CallerLimits, timers.now
         )
@@ -231,7 +231,7 @@
     host = settings.peer_address.rpartition(":")[0]
     server = Http1Server(
         f"{host}:{METRICS_PORT}",
-        MetricsCalls(metrics).handle,
+        MetricsHandler(metrics).handle,
         CallerLimits,
         timers.now,
     )
--- a/tests/relaying/test_lines.py
+++ b/tests/relaying/test_lines.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from pepperstep.adapters import line_handler
-from pepperstep.adapters.line_handler import LineHandler
+from pepperstep.adapters import json_line_handler
+from pepperstep.adapters.json_line_handler import JsonLineHandler
 from pepperstep.observability.decisions import RequestRefused
 from pepperstep.observability.relay_metrics import RelayMetrics
 
@@ -25,7 +25,9 @@
     os.close(writer)
 
 
-def log_record(handler: LineHandler, message: str, *arguments, line: int = 1) -> None:
+def log_record(
+    handler: JsonLineHandler, message: str, *arguments, line: int = 1
+) -> None:
     """Pass the handler a record of a log statement at `line`."""
     record = logging.LogRecord(
         "absl", logging.INFO, "relay.py", line, message, arguments, None
@@ -40,7 +42,7 @@
 
 def test_event_becomes_fields_of_its_line(pipe):
     reader, writer = pipe
-    log_record(LineHandler("entry-1", writer), "relay: %s", EVENT)
+    log_record(JsonLineHandler("entry-1", writer), "relay: %s", EVENT)
     [line] = read_lines(reader)
     assert (line["part"], line["event"]) == ("relay", "request_refused")
     assert (line["request"], line["retry_after_ms"]) == ("id-1", 300)
@@ -49,14 +51,14 @@
 
 def test_text_keeps_its_part(pipe):
     reader, writer = pipe
-    log_record(LineHandler("entry-1", writer), "sync: %s answers.", "10.0.0.1:1")
+    log_record(JsonLineHandler("entry-1", writer), "sync: %s answers.", "10.0.0.1:1")
     [line] = read_lines(reader)
     assert (line["part"], line["message"]) == ("sync", "10.0.0.1:1 answers.")
 
 
 def test_full_pipe_drops_and_counts_lines(pipe):
     reader, writer = pipe
-    handler = LineHandler("entry-1", writer)
+    handler = JsonLineHandler("entry-1", writer)
     for _ in range(100):
         log_record(handler, "relay: %s", EVENT)
     written = len(read_lines(reader))
@@ -69,9 +71,9 @@
 def test_rate_limits_of_log_statements_are_independent(pipe, monkeypatch):
     reader, writer = pipe
     fcntl.fcntl(writer, fcntl.F_SETPIPE_SZ, 65_536)
-    monkeypatch.setattr(line_handler, "_BURST_LINES", 3.0)
-    monkeypatch.setattr(line_handler, "_LINES_PER_SECOND", 0.0)
-    handler = LineHandler("entry-1", writer)
+    monkeypatch.setattr(json_line_handler, "_BURST_LINES", 3.0)
+    monkeypatch.setattr(json_line_handler, "_LINES_PER_SECOND", 0.0)
+    handler = JsonLineHandler("entry-1", writer)
     for _ in range(5):
         log_record(handler, "relay: %s", EVENT, line=1)
     log_record(handler, "relay: other", line=2)
@@ -82,7 +84,7 @@
 
 def test_long_message_is_truncated_to_one_write(pipe):
     reader, writer = pipe
-    log_record(LineHandler("entry-1", writer), "relay: %s", "x" * 100_000)
+    log_record(JsonLineHandler("entry-1", writer), "relay: %s", "x" * 100_000)
     [line] = read_lines(reader)
     assert len(line["message"]) < 4_096
 
--- a/tests/relaying/test_upstream_restarts.py
+++ b/tests/relaying/test_upstream_restarts.py
@@ -9,7 +9,7 @@
 from pepperstep.coordination import Announcement, UpstreamCatalog
 from pepperstep.errors import Code, Failure
 from pepperstep.fakes.relaying import FakeExchange, Reply
-from pepperstep.platform import ControlCalls
+from pepperstep.platform import ControlHandler
 from pepperstep.ports.exchange import AnswerHead, RequestHead
 from tests.relaying.world import document, open_world, request
 
@@ -208,7 +208,7 @@
     """Send a heartbeat or a deregistration and return the answer's status."""
     head = RequestHead(b"POST", f"/-/Replicas.{call}/{upstream}".encode(), ())
     exchange = FakeExchange(head, body, trio.current_time())
-    await ControlCalls(host).handle(exchange)
+    await ControlHandler(host).handle(exchange)
     return exchange.status
 
 
