--- a/src/pepperstep/fakes/__init__.py
+++ b/src/pepperstep/fakes/__init__.py
@@ -1,7 +1,7 @@
-"""Small fakes of the ports, for tests and measurements in virtual time.
+"""In-memory fakes of the ports, for tests that run in virtual time.
 
-Whole hosts run in one process on trio's `MockClock`; failures are brought
-about by the methods of the fakes.
+Whole hosts run in one process on trio's `MockClock`. Methods and attributes of
+the fakes inject failures.
 """
 
 from pepperstep.fakes.agreement import FakeAgreement, FakeLog
--- a/src/pepperstep/fakes/cloud.py
+++ b/src/pepperstep/fakes/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud API and the weight store in virtual time."""
+"""Fakes of the cloud API and the weight store in virtual time."""
 
 from collections import Counter
 from dataclasses import dataclass, replace
@@ -17,12 +17,15 @@
 
 __all__ = ["FakeCloud", "FakeWeightStore"]
 
-_WAY_SECONDS = 0.01
+_LATENCY_SECONDS = 0.01
 
 
 @dataclass(slots=True)
-class _Rented:
-    """A host with the times of its life."""
+class _StartedHost:
+    """A started host and when it becomes running and is reclaimed.
+
+    Times are on trio's clock.
+    """
 
     host: CloudHost
     running_at: float
@@ -30,7 +33,7 @@
     is_stopped: bool = False
 
     def at(self, now: float) -> CloudHost:
-        """Return the host as it's listed at a time."""
+        """Return the host with its state at time `now`."""
         if self.is_stopped or now >= self.reclaimed_at:
             return replace(self.host, state=HostState.STOPPED)
         if self.reclaimed_at != float("inf"):
@@ -41,34 +44,34 @@
 
 
 class FakeCloud:
-    """Cloud whose refusals, reclaims and faults a test sets."""
+    """Cloud API with refusals, reclaims and faults set by the test."""
 
     def __init__(self, offers: list[Offer], start_seconds: float = 20.0):
         self.offers = offers
         self.start_seconds = start_seconds
-        # Availability zones and price classes that refuse starts.
+        # Availability zones and price classes in which starts are refused.
         self.refused: set[str] = set()
         self.retry_after = 1.0
-        # No call gets through.
+        # While True, every call fails with OSError.
         self.is_down = False
-        # Calls are carried out, but this many replies are lost.
+        # Number of next starts and stops that succeed but whose reply is lost.
         self.lost_replies = 0
-        # Seconds that each call takes.
-        self.delay = _WAY_SECONDS
-        # How often each token was asked for, and hosts made.
+        # Duration of each call in seconds.
+        self.delay = _LATENCY_SECONDS
+        # Number of start requests by idempotency token.
         self.asked: Counter[str] = Counter()
         self.refusals = 0
-        # Most calls at the same time.
+        # Peak number of concurrent calls.
         self.most_calls = 0
         self._calls = 0
-        self._rented: dict[str, _Rented] = {}
+        self._started: dict[str, _StartedHost] = {}
         self._notices: list[ReclaimNotice] = []
 
     @property
     def hosts(self) -> list[CloudHost]:
-        """All hosts that were ever started, as they are now."""
+        """All hosts ever started, with their current states."""
         now = trio.current_time()
-        return [rented.at(now) for rented in self._rented.values()]
+        return [started.at(now) for started in self._started.values()]
 
     @property
     def living(self) -> list[CloudHost]:
@@ -76,40 +79,43 @@
         return [host for host in self.hosts if host.state is not HostState.STOPPED]
 
     def reclaim(self, seconds: float, *, zone: str = "", host_id: str = "") -> None:
-        """Give notice to a host, or to all reclaimable hosts of a zone."""
+        """Give a reclaim notice to a host, or to all reclaimable hosts of a zone.
+
+        The hosts stop `seconds` after the notice.
+        """
         now = trio.current_time()
-        for rented in self._rented.values():
-            host = rented.at(now)
-            is_meant = host.id == host_id or (
+        for started in self._started.values():
+            host = started.at(now)
+            is_selected = host.id == host_id or (
                 host.zone == zone and host.price_class is PriceClass.RECLAIMABLE
             )
-            if is_meant and host.state in (HostState.STARTING, HostState.RUNNING):
-                rented.reclaimed_at = now + seconds
+            if is_selected and host.state in (HostState.STARTING, HostState.RUNNING):
+                started.reclaimed_at = now + seconds
                 number = len(self._notices) + 1
-                at = EPOCH + rented.reclaimed_at
+                at = EPOCH + started.reclaimed_at
                 self._notices.append(ReclaimNotice(number, host.id, at))
 
     def add_host(self, host: CloudHost) -> None:
-        """Add a host that another has started."""
-        self._rented[host.token] = _Rented(host, trio.current_time())
+        """Add a running host that wasn't started through this API."""
+        self._started[host.token] = _StartedHost(host, trio.current_time())
 
     async def list_offers(self) -> list[Offer]:
-        """Return the offers."""
-        await self._way()
+        """Return the offered machines with their prices."""
+        await self._delay_call()
         return list(self.offers)
 
     async def list_hosts(self) -> list[CloudHost]:
-        """Return the hosts that live."""
-        await self._way()
+        """Return the hosts that aren't stopped."""
+        await self._delay_call()
         return self.living
 
     async def start_host(self, token: str, offer: Offer, deployment: str) -> CloudHost:
-        """Start a host, one for each token."""
-        await self._way()
+        """Start a host, or return the existing one for the same idempotency token."""
+        await self._delay_call()
         self.asked[token] += 1
-        if token not in self._rented:
-            self._check(offer)
-            number = len(self._rented) + 1
+        if token not in self._started:
+            self._check_refusal(offer)
+            number = len(self._started) + 1
             host = CloudHost(
                 f"host-{number}",
                 token,
@@ -121,24 +127,24 @@
                 deployment,
             )
             running_at = trio.current_time() + self.start_seconds
-            self._rented[token] = _Rented(host, running_at)
+            self._started[token] = _StartedHost(host, running_at)
         self._lose_reply()
-        return self._rented[token].at(trio.current_time())
+        return self._started[token].at(trio.current_time())
 
     async def stop_host(self, host_id: str) -> None:
-        """Stop a host."""
-        await self._way()
-        for rented in self._rented.values():
-            if rented.host.id == host_id:
-                rented.is_stopped = True
+        """Stop a host; an unknown id is ignored."""
+        await self._delay_call()
+        for started in self._started.values():
+            if started.host.id == host_id:
+                started.is_stopped = True
         self._lose_reply()
 
     async def list_notices(self, after: int) -> list[ReclaimNotice]:
-        """Return the notices above an id."""
-        await self._way()
+        """Return the notices with an id greater than `after`."""
+        await self._delay_call()
         return [notice for notice in self._notices if notice.id > after]
 
-    def _check(self, offer: Offer) -> None:
+    def _check_refusal(self, offer: Offer) -> None:
         if offer.zone in self.refused or offer.price_class in self.refused:
             self.refusals += 1
             raise StartRefused(f"No host in {offer.zone}.", self.retry_after)
@@ -148,7 +154,7 @@
             self.lost_replies -= 1
             raise OSError("The reply is lost.")
 
-    async def _way(self) -> None:
+    async def _delay_call(self) -> None:
         self._calls += 1
         self.most_calls = max(self.most_calls, self._calls)
         try:
@@ -160,7 +166,7 @@
 
 
 class FakeWeightStore:
-    """Weight store with the sizes and the rate that a test sets."""
+    """Weight store with model sizes and a download rate set by the test."""
 
     def __init__(self, sizes: dict[tuple[str, str], int], rate: float):
         self.sizes = sizes
@@ -168,16 +174,16 @@
         self.is_down = False
 
     async def size_bytes(self, model: str, version: str) -> int:
-        """Return a size, or raise KeyError."""
-        await self._way()
+        """Return the size of a model version, or raise KeyError."""
+        await self._delay_call()
         return self.sizes[model, version]
 
     async def rate(self) -> float:
-        """Return the rate."""
-        await self._way()
+        """Return the download rate in bytes per second."""
+        await self._delay_call()
         return self.bytes_per_second
 
-    async def _way(self) -> None:
-        await trio.sleep(_WAY_SECONDS)
+    async def _delay_call(self) -> None:
+        await trio.sleep(_LATENCY_SECONDS)
         if self.is_down:
             raise OSError("No connection.")
--- a/src/pepperstep/fakes/directory.py
+++ b/src/pepperstep/fakes/directory.py
@@ -1,4 +1,4 @@
-"""A view of hosts that the test sets."""
+"""Fake directory whose hosts the test sets."""
 
 from pepperstep.entities import Host
 
@@ -6,16 +6,16 @@
 
 
 class FakeDirectory:
-    """Hosts shared by all fake hosts of a test."""
+    """Directory shared by all fake hosts of a test."""
 
     def __init__(self, hosts: list[Host]):
         self.hosts = {host.name: host for host in hosts}
-        # Incarnation up to which each host's lives have ended.
+        # Highest incarnation of each host that has ended; earlier ones ended too.
         self.gone: dict[str, int] = {}
         self.leaving: set[str] = set()
 
     def entry_hosts(self) -> list[Host]:
-        """Return the hosts that are neither gone nor leaving."""
+        """Return the entry hosts that are neither gone nor leaving."""
         return [
             host
             for name, host in self.hosts.items()
@@ -23,5 +23,5 @@
         ]
 
     def is_gone(self, host: str, incarnation: int) -> bool:
-        """Whether the test has declared this life ended."""
+        """Whether this incarnation of a host has ended."""
         return self.gone.get(host, -1) >= incarnation
