--- a/src/pepperstep/fakes/hosts.py
+++ b/src/pepperstep/fakes/hosts.py
@@ -1,4 +1,4 @@
-"""Whole hosts in one process, on fakes of all that is outside."""
+"""Whole hosts in one process, on fakes of every external system."""
 
 import random
 from collections import Counter
@@ -16,9 +16,9 @@
 from pepperstep.errors import Failure
 from pepperstep.fakes.network import FakeNetwork, FakePeers
 from pepperstep.fakes.steps import (
-    LifeCloud,
-    LifeDisk,
-    LifeUpstreams,
+    PublishingCloud,
+    PublishingDisk,
+    PublishingUpstreams,
     Step,
     StepKind,
     Steps,
@@ -45,23 +45,23 @@
 
 
 class HostLost(Exception):
-    """A host's life ended before it answered a caller."""
+    """Raised when a host's incarnation ends before it answers a call."""
 
 
 @dataclass(frozen=True, slots=True)
 class Served:
-    """Revision of the configuration that a host came to serve."""
+    """Record that a host began to serve a revision of the configuration."""
 
     time: float
     host: str
     revision: int
-    # Whether the host may serve it; False before it knows the agreed revision.
+    # False until the host has learned the committed revision.
     is_ready: bool
 
 
 @dataclass(frozen=True, slots=True)
 class HostPlace:
-    """Where a host stands."""
+    """Location and role of a host."""
 
     name: str
     zone: str
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True)
 class FakeHost:
-    """One life of a host."""
+    """One incarnation of a host."""
 
     node: Node
     timers: FakeTimers
@@ -81,7 +81,10 @@
 
 
 class FakeHosts:
-    """Hosts that share a network, upstreams and a cloud."""
+    """Hosts that share a network, upstreams and a cloud.
+
+    `is_announcing` is False where the test renews the upstreams' leases itself.
+    """
 
     def __init__(
         self,
@@ -100,17 +103,16 @@
         self.network = FakeNetwork(random.Random(seed))
         self.disks = {place.name: FakeDisk() for place in places if place.is_control}
         self.hosts: dict[str, FakeHost] = {}
-        # What hosts do towards the outside, and what they came to serve.
+        # External steps of all hosts, and the revisions that hosts have served.
         self.steps = Steps()
         self.served: list[Served] = []
-        # Callers that wait for an answer of each host.
+        # Number of calls in flight by host.
         self.calling: Counter[str] = Counter()
-        self.network.before = self._note_message
+        self.network.before = self._publish_message
         self._base = base
         self._cloud = cloud
         self._weights = weights
         self._policies = policies
-        # False where the caller announces the upstreams itself.
         self._is_announcing = is_announcing
         self._rng = random.Random(seed + 1)
         self._nursery: trio.Nursery | None = None
@@ -119,24 +121,24 @@
     @classmethod
     @asynccontextmanager
     async def start(cls, *args, **options) -> AsyncIterator["FakeHosts"]:
-        """Run all hosts until the block ends; they are ready at its start."""
+        """Run all hosts until the block ends, and enter it once they are ready."""
         hosts = cls(*args, **options)
         async with trio.open_nursery() as hosts._nursery:
             for name in hosts.places:
                 await hosts.start_host(name)
             if hosts._is_announcing:
-                hosts._nursery.start_soon(hosts._announce_always)
+                hosts._nursery.start_soon(hosts._announce_periodically)
             await hosts._propose_base()
             await hosts.wait_ready()
             yield hosts
             hosts._nursery.cancel_scope.cancel()
 
     async def start_host(self, name: str) -> None:
-        """Start a life of a host."""
+        """Start a new incarnation of a host."""
         await self._nursery.start(self._run_host, name)
 
     def crash(self, name: str, torn_bytes: int = 0, is_disk_lost: bool = False) -> None:
-        """End a host's life without notice."""
+        """Crash a host, which keeps only what is durable on its disk."""
         self.network.detach(name)
         self.hosts.pop(name).scope.cancel()
         disk = self.disks.get(name)
@@ -146,7 +148,7 @@
                 disk.lose()
 
     async def drain(self, name: str) -> None:
-        """Let a host leave, then end its life, unless that ends before."""
+        """Drain a host and then stop it, unless it crashes first."""
         host = self.hosts[name]
         host.node.start_drain()
         try:
@@ -159,32 +161,35 @@
         self.crash(name)
 
     def pause(self, name: str) -> None:
-        """Freeze a host's process."""
+        """Pause a host, as when its process is frozen."""
         self.hosts[name].timers.pause()
 
     def resume(self, name: str) -> None:
-        """Let a frozen process go on."""
+        """Resume a paused host."""
         self.hosts[name].timers.resume()
 
     @property
     def leader(self) -> str:
-        """Name of the control host that leads, "" for none."""
+        """Name of the leading control host, "" if there is none."""
         for name, host in self.hosts.items():
             if host.node.agreement.is_leader:
                 return name
         return ""
 
     async def wait_ready(self) -> None:
-        """Return when all hosts that run are ready."""
+        """Return once all running hosts are ready."""
         while any(host.node.reasons_not_ready() for host in self.hosts.values()):
             await trio.sleep(0.05)
 
     async def change(self, host: str, change: Change):
-        """Send an operator's change to a host and return its answer."""
+        """Apply an operator's change at a host and return the answer."""
         return await self.hosts[host].node.store.apply_change(change, _CHANGE_SECONDS)
 
     async def call(self, name: str, function: Callable[[Node], Awaitable]) -> Any:
-        """Return what a call at a host returns; raise `HostLost` if it ends."""
+        """Run a function on a host's node and return its result.
+
+        Raise `HostLost` if the host ends first.
+        """
         host = self.hosts.get(name)
         if host is None:
             raise HostLost(name)
@@ -217,7 +222,7 @@
         return results[0]
 
     def request(self, host: str, number: int = 0, **changes) -> Request:
-        """Return a request to be submitted at `host`."""
+        """Return a request for `host`, with fields replaced by `changes`."""
         node = self.hosts[host].node
         target, deployment = next(iter(node.configuration.deployments.items()))
         values = {
@@ -242,7 +247,10 @@
         position: int = 0,
         limit: int | None = None,
     ) -> tuple[list[str], Outcome | None]:
-        """Read an answer at `host` to its end, or up to `limit` tokens."""
+        """Read an answer at `host` from `position` to its end or to `limit` tokens.
+
+        Return the tokens, and the outcome unless the limit was reached first.
+        """
         tokens: list[str] = []
         parts = self.hosts[host].node.requests.read(request_id, workspace, position)
         try:
@@ -254,18 +262,18 @@
                     return tokens, None
         finally:
             await parts.aclose()
-        raise AssertionError("The answer has no end.")
+        raise AssertionError("The answer ended without an outcome.")
 
-    def announce(self, each) -> None:
-        """Renew an upstream's lease at an entry host that runs."""
+    def announce(self, fake) -> None:
+        """Renew an upstream's lease at a random running host."""
         self._sequence += 1
         running = [h for h in self.hosts.values() if not h.timers.is_paused]
         if not running:
             return
         host = self._rng.choice(running)
-        upstream = each.upstream
-        if hasattr(each, "load"):
-            upstream = replace(upstream, load=each.load)
+        upstream = fake.upstream
+        if hasattr(fake, "load"):
+            upstream = replace(upstream, load=fake.load)
         host.node.registry.announce(upstream, self._sequence)
 
     async def _run_host(self, name: str, task_status) -> None:
@@ -273,38 +281,38 @@
             rng = random.Random(self._rng.random())
             timers = FakeTimers(rng)
             peers = FakePeers(name, self.network, timers, nursery)
-            ports = self._ports_of(name, timers, peers, rng)
-            node = Node(self._settings_of(self.places[name]), ports, self._policies)
+            ports = self._build_ports(name, timers, peers, rng)
+            node = Node(self._build_settings(self.places[name]), ports, self._policies)
             self.hosts[name] = FakeHost(node, timers, nursery.cancel_scope, nursery)
-            node.store.subscribe(lambda _: self._note_served(name, node))
+            node.store.subscribe(lambda _: self._record_served(name, node))
             await nursery.start(node.run)
-            nursery.start_soon(self._note_ready, name, node)
+            nursery.start_soon(self._record_ready, name, node)
             task_status.started()
 
-    def _ports_of(
+    def _build_ports(
         self, name: str, timers: FakeTimers, peers: FakePeers, rng: random.Random
     ) -> Ports:
         storage = cloud = None
         if name in self.disks:
-            storage = LifeDisk(name, timers, self.steps, self.disks[name])
+            storage = PublishingDisk(name, timers, self.steps, self.disks[name])
         if self._cloud is not None:
-            cloud = LifeCloud(name, timers, self.steps, self._cloud)
-        upstreams = LifeUpstreams(name, timers, self.steps, self.upstreams)
+            cloud = PublishingCloud(name, timers, self.steps, self._cloud)
+        upstreams = PublishingUpstreams(name, timers, self.steps, self.upstreams)
         return Ports(timers, peers, upstreams, rng, storage, cloud, self._weights)
 
-    def _note_message(self, sender: str, receiver: str, message: Message) -> None:
-        self.steps.note(Step(StepKind.SEND, sender, receiver, message))
+    def _publish_message(self, sender: str, receiver: str, message: Message) -> None:
+        self.steps.publish(Step(StepKind.SEND, sender, receiver, message))
 
-    def _note_served(self, name: str, node: Node) -> None:
+    def _record_served(self, name: str, node: Node) -> None:
         store = node.store
         served = Served(trio.current_time(), name, store.revision, store.is_ready)
         self.served.append(served)
 
-    async def _note_ready(self, name: str, node: Node) -> None:
+    async def _record_ready(self, name: str, node: Node) -> None:
         await node.store.wait_ready()
-        self._note_served(name, node)
+        self._record_served(name, node)
 
-    def _settings_of(self, place: HostPlace) -> Settings:
+    def _build_settings(self, place: HostPlace) -> Settings:
         names = list(self.places)
         return Settings(
             host=HostSettings(
@@ -343,10 +351,10 @@
             assert answer.is_accepted, answer
             return
 
-    async def _announce_always(self) -> None:
-        """Renew each living upstream's lease at an entry host, once a second."""
+    async def _announce_periodically(self) -> None:
+        """Renew the lease of each live upstream once every heartbeat."""
         while True:
-            for each in list(self.upstreams.all.values()):
-                if each.is_alive and self.hosts:
-                    self.announce(each)
+            for fake in list(self.upstreams.all.values()):
+                if fake.is_alive and self.hosts:
+                    self.announce(fake)
             await trio.sleep(_HEARTBEAT_SECONDS)
--- a/src/pepperstep/fakes/relaying.py
+++ b/src/pepperstep/fakes/relaying.py
@@ -1,4 +1,4 @@
-"""Fakes of what the relay meets outside: callers and upstreams over HTTP."""
+"""Fakes of the relay's HTTP peers: callers and upstreams."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable
 from dataclasses import dataclass, field
@@ -18,28 +18,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """What a scripted upstream does with a request."""
+    """Scripted response of an upstream to one request."""
 
     head: AnswerHead | None = None
     pieces: tuple[bytes, ...] = ()
-    # Whether the connection breaks behind the pieces.
+    # Whether the connection breaks after the last piece.
     breaks: bool = False
-    # Seconds before the head, and between two pieces.
+    # Seconds before the head, and before each piece.
     delay: float = 0.0
     pause: float = 0.0
-    # Another request's answer that stands before this one.
+    # Head of another request's answer, sent before this one.
     stray: AnswerHead | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Sent:
-    """A request as an upstream has received it."""
+    """Request that an upstream received."""
 
     address: str
     head: RequestHead
     body: bytes
     time: float
-    # The host that sent it, "" where hosts share a connector.
+    # Name of the sending host, "" where hosts share a connector.
     host: str = ""
 
 
@@ -48,7 +48,7 @@
 
 @dataclass
 class FakeConnector:
-    """Upstreams by address; each answers by its script.
+    """Connector to scripted upstreams, by address.
 
     An address without a script refuses connections.
     """
@@ -69,13 +69,13 @@
         return _FakeConnection(self, address, host)
 
     def for_host(self, host: str) -> "_HostConnector":
-        """Return a connector to the same upstreams that names the sending host."""
+        """Return a connector to the same upstreams that records `host` as sender."""
         return _HostConnector(self, host)
 
 
 @dataclass(frozen=True)
 class _HostConnector:
-    """One host's connector."""
+    """Connector that records its host as the sender."""
 
     _connector: FakeConnector
     _host: str
@@ -86,23 +86,23 @@
 
 
 class _FakeConnection:
-    """A connection to a scripted upstream."""
+    """Connection to a scripted upstream."""
 
     def __init__(self, connector: FakeConnector, address: str, host: str):
         self._connector = connector
         self._host = host
         self._address = address
         self._reply = Reply()
-        self._is_whole = True
+        self._is_idle = True
         self._closed = trio.Event()
         self.idle_since = trio.current_time()
 
     async def send(self, head: RequestHead, body: bytes) -> AnswerHead:
-        """Hand the request to the script and return the head of its answer."""
+        """Pass the request to the script and return the head of its answer."""
         now = trio.current_time()
         sent = Sent(self._address, head, body, now, self._host)
         self._connector.sent.append(sent)
-        self._is_whole = False
+        self._is_idle = False
         script = self._connector.scripts.get(self._address)
         if script is None:
             raise ConnectionFault("reset", True)
@@ -110,25 +110,25 @@
         await self._wait(self._reply.delay)
         if self._reply.stray is not None:
             return self._reply.stray
-        return self._own_head()
+        return self._answer_head()
 
     async def pieces(self) -> AsyncIterator[bytes]:
-        """Yield the answer's body."""
+        """Yield the pieces of the answer's body."""
         for piece in self._reply.pieces:
             await self._wait(self._reply.pause)
             yield piece
         if self._reply.breaks:
             raise ConnectionFault("broke off", True)
-        self._is_whole = True
+        self._is_idle = True
         self.idle_since = trio.current_time()
 
     async def skip_answer(self) -> AnswerHead:
-        """Return the head of the awaited answer behind the stray one."""
-        return self._own_head()
+        """Skip the stray answer and return the head of the one to this request."""
+        return self._answer_head()
 
     def is_reusable(self) -> bool:
-        """Whether another request may be sent."""
-        return self._is_whole and not self._closed.is_set()
+        """Whether the connection can carry another request."""
+        return self._is_idle and not self._closed.is_set()
 
     def close(self) -> None:
         """Close the connection."""
@@ -141,14 +141,14 @@
             await self._closed.wait()
             raise ConnectionFault("closed meanwhile", True)
 
-    def _own_head(self) -> AnswerHead:
+    def _answer_head(self) -> AnswerHead:
         if self._reply.head is None:
             raise ConnectionFault("closed without an answer", True)
         return self._reply.head
 
 
 class FakeExchange:
-    """A caller's request, and what the caller gets."""
+    """A caller's request and the answer sent to the caller."""
 
     def __init__(self, head: RequestHead, body: bytes = b"", now: float = 0.0):
         self.head = head
@@ -163,12 +163,12 @@
 
     @property
     def status(self) -> int:
-        """Status that the caller got, 0 for none."""
+        """Status sent to the caller, 0 if no answer has begun."""
         return 0 if self.answer_head is None else self.answer_head.status
 
     @property
     def received(self) -> bytes:
-        """All of the body that the caller got."""
+        """Body sent to the caller so far."""
         return b"".join(self.pieces)
 
     def leave(self) -> None:
@@ -176,30 +176,30 @@
         self._gone.set()
 
     async def answer(self, answer: Answer) -> None:
-        """Take a whole answer."""
+        """Send a complete answer."""
         await self.begin(AnswerHead(answer.status, answer.headers), answer.body)
         await self.finish()
 
     async def begin(self, head: AnswerHead, data: bytes) -> None:
-        """Take an answer's head with the first piece."""
+        """Send the head of an answer with the first piece of its body."""
         self.answer_head = head
         self.has_begun = True
         await self.send(data)
 
     async def send(self, data: bytes) -> None:
-        """Take a further piece."""
+        """Send another piece, or raise `CallerGone` if the caller has left."""
         if self._gone.is_set():
             raise CallerGone
         self.pieces.append(data)
 
     async def finish(self) -> None:
-        """Take the answer's end."""
+        """Mark the answer as complete."""
         self.is_complete = True
 
     def abort(self) -> None:
-        """Take the connection's reset."""
+        """Reset the caller's connection."""
         self.is_aborted = True
 
     async def wait_gone(self) -> None:
-        """Return once the caller has left."""
+        """Return once the caller has closed the connection."""
         await self._gone.wait()
--- a/src/pepperstep/fakes/steps.py
+++ b/src/pepperstep/fakes/steps.py
@@ -1,7 +1,8 @@
-"""Steps that hosts take towards the outside, told before they are taken.
+"""Ports that publish each external step of a host before it happens.
 
-Each life of a host gets its own upstreams and disk from here. What a host does
-there ends with its life, and waits while it is paused.
+Every incarnation of a host gets its own disk, upstream client and cloud client. A
+call through one of them ends when the incarnation ends, and waits while the host is
+paused.
 """
 
 import enum
@@ -24,28 +25,35 @@
     UpstreamState,
 )
 
-__all__ = ["LifeCloud", "LifeDisk", "LifeUpstreams", "Step", "StepKind", "Steps"]
+__all__ = [
+    "PublishingCloud",
+    "PublishingDisk",
+    "PublishingUpstreams",
+    "Step",
+    "StepKind",
+    "Steps",
+]
 
 
 class StepKind(enum.Enum):
-    """What a host is about to do."""
+    """Kind of step that a host is about to perform."""
 
     # Send a message or an answer to another host.
     SEND = enum.auto()
-    # Write on its disk.
+    # Write to its disk.
     WRITE = enum.auto()
     # Open an attempt or call a service.
     OPEN = enum.auto()
-    # Take a chunk, an end mark or a service's answer in.
+    # Receive a chunk, an end mark or a service's answer.
     TAKE = enum.auto()
-    # Give an upstream an order, or ask the cloud; and take the reply in.
+    # Send an order to an upstream or to the cloud, and receive the reply.
     ORDER = enum.auto()
     REPLY = enum.auto()
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One step, with what it's about."""
+    """One external step of a host."""
 
     kind: StepKind
     host: str
@@ -56,41 +64,42 @@
 
 
 class Steps:
-    """Tells subscribers of each step before it's taken.
+    """Publishes each step to subscribers before it is performed.
 
-    A subscriber may end or pause the host; the step is then not taken, or waits.
+    A subscriber may crash the host, which prevents the step, or pause the host,
+    which delays the step until the host resumes.
     """
 
     def __init__(self) -> None:
         self._subscribers: list[Callable[[Step], None]] = []
 
     def subscribe(self, subscriber: Callable[[Step], None]) -> None:
-        """Call `subscriber` with each step from now on."""
+        """Call `subscriber` with each later step."""
         self._subscribers.append(subscriber)
 
-    def note(self, step: Step) -> None:
-        """Tell all subscribers."""
+    def publish(self, step: Step) -> None:
+        """Publish a step to all subscribers."""
         for subscriber in list(self._subscribers):
             subscriber(step)
 
 
-class _Life:
-    """What the ports of one life of a host share."""
+class _PublishingPort:
+    """Base of the ports of one incarnation of a host."""
 
     def __init__(self, host: str, timers: FakeTimers, steps: Steps):
         self._host = host
         self._timers = timers
         self._steps = steps
 
-    async def _take(self, kind: StepKind, subject: str, detail: Any = None) -> None:
-        self._steps.note(Step(kind, self._host, subject, detail))
-        # A host that has just died takes no step more.
+    async def _publish(self, kind: StepKind, subject: str, detail: Any = None) -> None:
+        self._steps.publish(Step(kind, self._host, subject, detail))
+        # A subscriber may have crashed the host: then this raises `Cancelled`.
         await trio.lowlevel.checkpoint_if_cancelled()
         await self._timers.wait_running()
 
 
-class LifeDisk(_Life):
-    """Disk as one life of a host uses it."""
+class PublishingDisk(_PublishingPort):
+    """Disk port that publishes every write."""
 
     def __init__(self, host: str, timers: FakeTimers, steps: Steps, disk: FakeDisk):
         super().__init__(host, timers, steps)
@@ -101,37 +110,37 @@
         return await self._disk.names()
 
     async def read(self, name: str) -> bytes | None:
-        """Return the whole content, None if there is no such file."""
+        """Return the content of a file, None if it doesn't exist."""
         return await self._disk.read(name)
 
     async def append(self, name: str, data: bytes) -> None:
-        """Write `data` at the end of the file."""
-        await self._take(StepKind.WRITE, f"append {name}", data)
+        """Append `data` to the file."""
+        await self._publish(StepKind.WRITE, f"append {name}", data)
         await self._disk.append(name, data)
 
     async def sync(self, name: str) -> None:
         """Make the file durable."""
-        await self._take(StepKind.WRITE, f"sync {name}")
+        await self._publish(StepKind.WRITE, f"sync {name}")
         await self._disk.sync(name)
 
     async def replace(self, name: str, data: bytes) -> None:
-        """Put `data` in place of the content, durably."""
-        await self._take(StepKind.WRITE, f"replace {name}", data)
+        """Replace the content durably."""
+        await self._publish(StepKind.WRITE, f"replace {name}", data)
         await self._disk.replace(name, data)
 
     async def truncate(self, name: str, size: int) -> None:
-        """Cut the file to its first `size` bytes, durably."""
-        await self._take(StepKind.WRITE, f"truncate {name}")
+        """Truncate the file to `size` bytes durably."""
+        await self._publish(StepKind.WRITE, f"truncate {name}")
         await self._disk.truncate(name, size)
 
     async def delete(self, name: str) -> None:
-        """Remove the file, durably."""
-        await self._take(StepKind.WRITE, f"delete {name}")
+        """Remove the file durably."""
+        await self._publish(StepKind.WRITE, f"delete {name}")
         await self._disk.delete(name)
 
 
-class LifeUpstreams(_Life):
-    """Upstream client as one life of a host uses it."""
+class PublishingUpstreams(_PublishingPort):
+    """Upstream client that publishes opened attempts, chunks and orders."""
 
     def __init__(
         self, host: str, timers: FakeTimers, steps: Steps, upstreams: UpstreamClient
@@ -143,55 +152,55 @@
     async def generate(
         self, upstream, order: GenerateOrder
     ) -> AsyncIterator[AsyncIterator[TokenChunk | EndMark]]:
-        """Open an attempt and give its chunks."""
-        await self._take(StepKind.OPEN, order.attempt_id, upstream)
+        """Open an attempt and yield the iterator over its chunks."""
+        await self._publish(StepKind.OPEN, order.attempt_id, upstream)
         async with self._upstreams.generate(upstream, order) as chunks:
-            passed = self._pass_chunks(order.attempt_id, chunks)
+            published_chunks = self._publish_chunks(order.attempt_id, chunks)
             try:
-                yield passed
+                yield published_chunks
             finally:
-                await passed.aclose()
+                await published_chunks.aclose()
 
     async def cancel(self, upstream, attempt_id: str) -> bool:
-        """Stop an attempt."""
+        """Cancel an attempt."""
         await self._timers.wait_running()
         return await self._upstreams.cancel(upstream, attempt_id)
 
     async def export_cache(self, upstream, attempt_id: str, target) -> CacheExport:
-        """Stop an attempt and send its KV cache to `target`."""
+        """Cancel an attempt and send its KV cache to `target`."""
         await self._timers.wait_running()
         return await self._upstreams.export_cache(upstream, attempt_id, target)
 
     async def call_service(self, upstream, request, attempt_id: str):
         """Call a plain service."""
-        await self._take(StepKind.OPEN, attempt_id, upstream)
+        await self._publish(StepKind.OPEN, attempt_id, upstream)
         answer = await self._upstreams.call_service(upstream, request, attempt_id)
-        await self._take(StepKind.TAKE, attempt_id, answer)
+        await self._publish(StepKind.TAKE, attempt_id, answer)
         return answer
 
     async def send_order(self, upstream, order: UpstreamOrder) -> None:
-        """Give an order."""
-        await self._take(StepKind.ORDER, "send_order", order)
+        """Send an order to an upstream."""
+        await self._publish(StepKind.ORDER, "send_order", order)
         await self._upstreams.send_order(upstream, order)
-        await self._take(StepKind.REPLY, "send_order", order)
+        await self._publish(StepKind.REPLY, "send_order", order)
 
     async def read_state(self, upstream) -> UpstreamState:
-        """Read an engine's state back."""
+        """Return an engine's current state."""
         await self._timers.wait_running()
         return await self._upstreams.read_state(upstream)
 
-    async def _pass_chunks(
+    async def _publish_chunks(
         self, attempt_id: str, chunks: AsyncIterator[TokenChunk | EndMark]
     ) -> AsyncIterator[TokenChunk | EndMark]:
         async for chunk in chunks:
-            await self._take(StepKind.TAKE, attempt_id, chunk)
+            await self._publish(StepKind.TAKE, attempt_id, chunk)
             yield chunk
 
 
-class LifeCloud(_Life):
-    """Cloud API as one life of a host uses it."""
+class PublishingCloud(_PublishingPort):
+    """Cloud client that publishes starts and stops of cloud hosts."""
 
-    _ACTS = ("start_host", "stop_host")
+    _PUBLISHED_METHODS = ("start_host", "stop_host")
 
     def __init__(self, host: str, timers: FakeTimers, steps: Steps, cloud: Any):
         super().__init__(host, timers, steps)
@@ -202,11 +211,11 @@
 
         async def call(*arguments):
             await self._timers.wait_running()
-            if name in self._ACTS:
-                await self._take(StepKind.ORDER, name, arguments)
+            if name in self._PUBLISHED_METHODS:
+                await self._publish(StepKind.ORDER, name, arguments)
             result = await method(*arguments)
-            if name in self._ACTS:
-                await self._take(StepKind.REPLY, name, result)
+            if name in self._PUBLISHED_METHODS:
+                await self._publish(StepKind.REPLY, name, result)
             await self._timers.wait_running()
             return result
 
--- a/src/pepperstep/fakes/storage.py
+++ b/src/pepperstep/fakes/storage.py
@@ -1,4 +1,4 @@
-"""Disk in memory whose unsynced bytes vanish at a crash."""
+"""In-memory disk that loses unsynced bytes in a crash."""
 
 from collections.abc import Callable
 
@@ -6,7 +6,7 @@
 
 
 class _File:
-    """Content of a file, and how much of it is durable."""
+    """Content of a file, and the content that survives a crash."""
 
     def __init__(self) -> None:
         self.data = bytearray()
@@ -15,10 +15,10 @@
 
 
 class FakeDisk:
-    """Storage that outlives the crash of its host, unless it is lost.
+    """Storage that survives crashes of its host until `lose` is called.
 
-    `before` is called with the operation's and the file's name before each
-    write; a test may raise from it, or crash the host.
+    `before` is called with the names of the operation and the file before each
+    write. A test may raise from it or crash the host.
     """
 
     def __init__(self) -> None:
@@ -27,7 +27,10 @@
         self.sync_count = 0
 
     def crash(self, torn_bytes: int = 0) -> None:
-        """Drop what isn't durable, but for `torn_bytes` of each tail."""
+        """Drop unsynced data, except the first `torn_bytes` of each unsynced tail.
+
+        A file that was never synced is removed.
+        """
         for name, file in list(self._files.items()):
             if not file.is_name_durable:
                 del self._files[name]
@@ -37,7 +40,7 @@
             file.durable = bytes(file.data)
 
     def lose(self) -> None:
-        """Lose all files."""
+        """Remove all files, as if the disk were replaced."""
         self._files.clear()
 
     def damage(self, name: str, offset: int) -> None:
@@ -51,12 +54,12 @@
         return sorted(self._files)
 
     async def read(self, name: str) -> bytes | None:
-        """Return the whole content, None if there is no such file."""
+        """Return the content of a file, None if it doesn't exist."""
         file = self._files.get(name)
         return None if file is None else bytes(file.data)
 
     async def append(self, name: str, data: bytes) -> None:
-        """Write `data` at the end of the file."""
+        """Append `data` to the file, creating it if needed; not durable."""
         self.before("append", name)
         self._files.setdefault(name, _File()).data += data
 
@@ -69,7 +72,7 @@
         file.is_name_durable = True
 
     async def replace(self, name: str, data: bytes) -> None:
-        """Put `data` in place of the content, durably."""
+        """Replace the content durably."""
         self.before("replace", name)
         file = _File()
         file.data = bytearray(data)
@@ -78,13 +81,13 @@
         self._files[name] = file
 
     async def truncate(self, name: str, size: int) -> None:
-        """Cut the file to its first `size` bytes, durably."""
+        """Truncate the file to `size` bytes durably."""
         self.before("truncate", name)
         file = self._files[name]
         del file.data[size:]
         file.durable = bytes(file.data)
 
     async def delete(self, name: str) -> None:
-        """Remove the file, durably."""
+        """Remove the file durably; a missing file is ignored."""
         self.before("delete", name)
         self._files.pop(name, None)
--- a/src/pepperstep/fakes/timers.py
+++ b/src/pepperstep/fakes/timers.py
@@ -1,4 +1,4 @@
-"""Timers of a host that can be paused."""
+"""Fake timers that can be paused, as when a process is frozen."""
 
 import random
 from collections.abc import AsyncIterator
@@ -7,12 +7,12 @@
 
 __all__ = ["FakeTimers"]
 
-# Unix time at which virtual time starts.
+# Wall-clock time in Unix seconds when virtual time is 0.
 EPOCH = 1_800_000_000.0
 
 
 class FakeTimers:
-    """Timers on trio's clock; while paused, no sleep of the host returns."""
+    """Timers on trio's clock; while paused, no sleep returns."""
 
     def __init__(self, rng: random.Random | None = None, wall_offset: float = 0.0):
         self._rng = rng or random.Random(0)
@@ -26,40 +26,43 @@
         return not self._running.is_set()
 
     def pause(self) -> None:
-        """Stop the host's timers; its clock goes on."""
+        """Pause the host's timers; its clocks keep running."""
         if not self.is_paused:
             self._running = trio.Event()
 
     def resume(self) -> None:
-        """Let the host's timers go on."""
+        """Resume the host's timers."""
         self._running.set()
 
     async def wait_running(self) -> None:
-        """Return at once unless the host is paused, else when it resumes."""
+        """Return at once, or on resume if the host is paused."""
         while self.is_paused:
             await self._running.wait()
 
     def now(self) -> float:
-        """Return the virtual time."""
+        """Return the virtual monotonic time in seconds."""
         return trio.current_time()
 
     def step_wall(self, seconds: float) -> None:
-        """Let the Unix time jump."""
+        """Step the wall clock by `seconds`, which may be negative."""
         self._wall_offset += seconds
 
     def wall(self) -> float:
-        """Return the virtual Unix time."""
+        """Return the virtual wall-clock time in Unix seconds."""
         return EPOCH + trio.current_time() + self._wall_offset
 
     async def sleep(self, seconds: float) -> None:
-        """Return after `seconds`, later while paused."""
+        """Return after `seconds`, or on resume if the host is paused then."""
         await trio.sleep(max(0.0, seconds))
         await self.wait_running()
 
     async def subscribe(
         self, period: float, jitter: float = 0.0
     ) -> AsyncIterator[float]:
-        """Yield the virtual time each `period` seconds."""
+        """Yield the virtual time about every `period` seconds.
+
+        Each period varies by up to half of `jitter`, a fraction of the period.
+        """
         due = self.now()
         while True:
             due = due + period * (1 + jitter * (self._rng.random() - 0.5))
@@ -69,5 +72,5 @@
             due = max(due, self.now() - period)
 
     def move_on_after(self, seconds: float) -> trio.CancelScope:
-        """Return a scope that cancels its block after `seconds`, at once below 0."""
+        """Return a scope that cancels its block after `seconds`, at once if below 0."""
         return trio.move_on_after(max(0.0, seconds))
--- a/src/pepperstep/fakes/upstreams.py
+++ b/src/pepperstep/fakes/upstreams.py
@@ -1,4 +1,4 @@
-"""Model engines and plain services in virtual time."""
+"""Fakes of model engines and plain services in virtual time."""
 
 from collections import Counter, OrderedDict
 from collections.abc import AsyncIterator
@@ -34,17 +34,17 @@
 _CHARACTERS_PER_TOKEN = 4
 _BLOCK_CHARACTERS = 256
 _BYTES_PER_TOKEN = 131_072
-_WAY_SECONDS = 0.0005
+_LATENCY_SECONDS = 0.0005
 
 
 def answer_token(key: ModelKey, seed: int, prompt: str, position: int) -> str:
-    """Return the token at `position` of the one right answer."""
+    """Return the token at `position` of the deterministic answer."""
     text = f"{key.model}/{key.adapter}/{key.version}/{seed}/{prompt}/{position}"
     return f"{xxhash.xxh32_intdigest(text.encode()):08x} "
 
 
 def answer_of(request: Request) -> list[str]:
-    """Return the one right answer to a request."""
+    """Return the tokens of the deterministic answer to a request."""
     return [
         answer_token(request.model_key, request.seed, request.prompt, position)
         for position in range(request.max_tokens)
@@ -52,23 +52,23 @@
 
 
 class _Attempt:
-    """An attempt that an engine runs."""
+    """Attempt in progress on an engine."""
 
     def __init__(self, order: GenerateOrder):
         self.order = order
         self.position = len(order.prefix)
         self.is_ended = False
-        # Set when the engine dies or the attempt is cancelled.
-        self.broken = trio.Event()
+        # Set when the engine crashes or the attempt is cancelled.
+        self.interrupted = trio.Event()
 
     @property
     def tokens(self) -> int:
-        """Tokens in its KV cache."""
+        """Number of tokens in the KV cache of the attempt."""
         return len(self.order.prompt) // _CHARACTERS_PER_TOKEN + self.position
 
 
 class FakeEngine:
-    """A model engine with continuous batches and a prefix cache."""
+    """Model engine with continuous batching and a prefix cache."""
 
     def __init__(
         self,
@@ -99,18 +99,22 @@
         self.prefill_seconds = prefill_seconds
         self.decode_seconds = decode_seconds
         self.export_rate = export_rate
-        # Faults: prompt text that kills it, extra seconds a token, tokens after
-        # which a stream is cut, a wrong attempt id, doubled chunks.
+        # Text in a prompt that crashes the engine.
         self.poison = ""
+        # Extra seconds per token.
         self.slow_seconds = 0.0
+        # Number of tokens after which a stream breaks.
         self.cut_after: int | None = None
+        # Chunks carry the id of another attempt.
         self.is_crossed = False
+        # Each chunk is sent twice.
         self.is_doubled = False
+        # Decoding stalls while the connections stay open.
         self.is_silent = False
         self.is_alive = True
         self.fence = 0
         self.last_order = ""
-        # Tokens of prompts and prefixes that were computed, and attempts seen.
+        # Tokens prefilled without a cache hit, and number of opens by attempt id.
         self.computed_tokens = 0
         self.attempts: Counter[str] = Counter()
         self._running: dict[str, _Attempt] = {}
@@ -121,12 +125,12 @@
 
     @property
     def name(self) -> str:
-        """Name of the upstream."""
+        """Name of the engine."""
         return self.upstream.name
 
     @property
     def load(self) -> Load:
-        """The true load now."""
+        """Current load."""
         waiting = self._slots.statistics().tasks_waiting
         return Load(
             len(self._running) - waiting,
@@ -136,13 +140,13 @@
         )
 
     def die(self) -> None:
-        """End without notice; all its streams break."""
+        """Crash: break all streams and refuse connections."""
         self.is_alive = False
         for attempt in self._running.values():
-            attempt.broken.set()
+            attempt.interrupted.set()
 
     def start_again(self) -> None:
-        """Start a new life with an empty cache."""
+        """Restart with a new epoch and an empty cache."""
         self.is_alive = True
         self._cache.clear()
         self._imported.clear()
@@ -151,12 +155,12 @@
         )
 
     def leave(self) -> None:
-        """Refuse new attempts, and say so."""
+        """Refuse new attempts, and announce that the engine is leaving."""
         self.upstream = replace(self.upstream, is_leaving=True)
 
     async def open(self, order: GenerateOrder) -> _Attempt:
-        """Take an attempt in, or raise `UpstreamRefused`."""
-        await trio.sleep(_WAY_SECONDS)
+        """Accept an attempt, or raise `UpstreamRefused`."""
+        await trio.sleep(_LATENCY_SECONDS)
         if not self.is_alive:
             raise UpstreamRefused("No connection.")
         if self.upstream.is_leaving or order.model_key not in self.upstream.models:
@@ -170,7 +174,7 @@
         return attempt
 
     async def stream(self, attempt: _Attempt) -> AsyncIterator[TokenChunk | EndMark]:
-        """Yield the attempt's chunks, or raise `UpstreamLost`."""
+        """Yield the chunks and the end mark of an attempt, or raise `UpstreamLost`."""
         async with self._slots:
             computed, cached = await self._prefill(attempt)
             order = attempt.order
@@ -194,22 +198,22 @@
             )
 
     def close(self, attempt: _Attempt) -> None:
-        """End an attempt, whether it was whole or not."""
+        """Remove an attempt, whether or not it was completed."""
         self._running.pop(attempt.order.attempt_id, None)
 
     def cancel(self, attempt_id: str) -> _Attempt | None:
-        """Stop an attempt and return it, None if it isn't running."""
+        """Cancel an attempt and return it, None if it isn't running."""
         attempt = self._running.get(attempt_id)
         if attempt is not None:
-            attempt.broken.set()
+            attempt.interrupted.set()
         return attempt
 
     def import_cache(self, attempt_id: str, tokens: int) -> None:
-        """Keep the KV cache of another engine's attempt."""
+        """Store the KV cache of an attempt exported by another engine."""
         self._imported[attempt_id] = tokens
 
     def take_order(self, order: UpstreamOrder) -> None:
-        """Carry an order out, or raise `UpstreamRefused` for an old fence."""
+        """Execute an order, or raise `UpstreamRefused` for a stale fencing number."""
         if self.upstream.checks_fencing and order.fence < self.fence:
             raise UpstreamRefused("Old fencing number.")
         self.fence = order.fence
@@ -241,12 +245,12 @@
 
     async def _sleep(self, attempt: _Attempt, seconds: float) -> None:
         with trio.move_on_after(seconds):
-            await attempt.broken.wait()
-        if attempt.broken.is_set():
+            await attempt.interrupted.wait()
+        if attempt.interrupted.is_set():
             raise UpstreamLost("Connection lost.")
 
     def _cached_tokens(self, prompt: str) -> int:
-        """Return the prompt's cached tokens, and keep the whole prompt."""
+        """Return the number of cached prompt tokens, and cache the whole prompt."""
         cached, digest, is_known = 0, 0, True
         for start in range(0, len(prompt) - _BLOCK_CHARACTERS + 1, _BLOCK_CHARACTERS):
             block = prompt[start : start + _BLOCK_CHARACTERS].encode()
@@ -261,7 +265,7 @@
 
 
 class FakeService:
-    """A plain service that counts how often each body ran."""
+    """Plain service that counts the runs of each request body."""
 
     def __init__(self, name: str, service: str, zone: str, seconds: float = 0.05):
         self.upstream = Upstream(
@@ -278,13 +282,14 @@
         self.is_alive = True
         self.fence = 0
         self.last_order = ""
-        # Dies at this point of the next call: "before", "during" or "after".
+        # Point of the next call at which the service crashes: "before", "during"
+        # or "after" the run, "" for none.
         self.dies = ""
         self.runs: Counter[bytes] = Counter()
 
     async def call(self, request: Request) -> ServiceAnswer:
-        """Run the call and return its answer."""
-        await trio.sleep(_WAY_SECONDS)
+        """Run a request and return its answer."""
+        await trio.sleep(_LATENCY_SECONDS)
         if not self.is_alive or self.dies == "before":
             self.is_alive = False
             raise UpstreamRefused("No connection.")
@@ -297,14 +302,14 @@
 
 
 class FakeUpstreams:
-    """Upstream client of all fake upstreams, and a view of those that live."""
+    """Upstream client and registry of all fake upstreams."""
 
     def __init__(self, upstreams: list[FakeEngine | FakeService] = ()):
         self.all = {each.upstream.name: each for each in upstreams}
 
     @property
     def engines(self) -> list[FakeEngine]:
-        """All engines."""
+        """All model engines, whether alive or not."""
         return [each for each in self.all.values() if isinstance(each, FakeEngine)]
 
     def add(self, upstream: FakeEngine | FakeService) -> None:
@@ -312,7 +317,7 @@
         self.all[upstream.upstream.name] = upstream
 
     def candidates(self) -> list[Upstream]:
-        """Return the upstreams that live and aren't leaving, with their load."""
+        """Return the live upstreams that aren't leaving, engines with their load."""
         return [
             replace(each.upstream, load=each.load)
             if isinstance(each, FakeEngine)
@@ -325,7 +330,7 @@
     async def generate(
         self, upstream: Upstream, order: GenerateOrder
     ) -> AsyncIterator[AsyncIterator[TokenChunk | EndMark]]:
-        """Open an attempt and give its chunks."""
+        """Open an attempt and yield the iterator over its chunks."""
         engine = self.all[upstream.name]
         attempt = await engine.open(order)
         try:
@@ -338,8 +343,8 @@
             engine.close(attempt)
 
     async def cancel(self, upstream: Upstream, attempt_id: str) -> bool:
-        """Stop an attempt."""
-        await trio.sleep(_WAY_SECONDS)
+        """Cancel an attempt."""
+        await trio.sleep(_LATENCY_SECONDS)
         engine = self.all[upstream.name]
         if not engine.is_alive:
             raise UpstreamRefused("No connection.")
@@ -349,7 +354,7 @@
     async def export_cache(
         self, upstream: Upstream, attempt_id: str, target: Upstream
     ) -> CacheExport:
-        """Stop an attempt and send its KV cache to `target`."""
+        """Cancel an attempt and send its KV cache to `target`."""
         engine = self.all[upstream.name]
         attempt = engine.cancel(attempt_id) if engine.is_alive else None
         if attempt is None:
@@ -369,16 +374,16 @@
         return await self.all[upstream.name].call(request)
 
     async def send_order(self, upstream: Upstream, order: UpstreamOrder) -> None:
-        """Give an order."""
-        await trio.sleep(_WAY_SECONDS)
+        """Send an order to an engine."""
+        await trio.sleep(_LATENCY_SECONDS)
         engine = self.all[upstream.name]
         if not engine.is_alive:
             raise UpstreamRefused("No connection.")
         engine.take_order(order)
 
     async def read_state(self, upstream: Upstream) -> UpstreamState:
-        """Read an engine's state back."""
-        await trio.sleep(_WAY_SECONDS)
+        """Return an engine's current state."""
+        await trio.sleep(_LATENCY_SECONDS)
         engine = self.all[upstream.name]
         if not engine.is_alive:
             raise UpstreamRefused("No connection.")
