--- a/tests/retry_rule.py
+++ b/tests/retry_rule.py
@@ -1,4 +1,4 @@
-"""The bound on what all hosts together may retry, for tests of any kind."""
+"""Bound on the retries of all hosts together, shared by tests."""
 
 import bisect
 from collections.abc import Sequence
@@ -9,28 +9,34 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryRule:
-    """Repeats for each request, those allowed besides, and the window in seconds."""
+    """Retry budget of `ratio` times the requests plus `allowance` per window.
+
+    `window` is in seconds.
+    """
 
     ratio: float
     allowance: float
     window: float
 
-    def check(self, asked: Sequence[float], repeats: Sequence[float]) -> None:
-        """Fail if more repeats have arrived in a window than are allowed.
+    def check(
+        self, request_times: Sequence[float], retry_times: Sequence[float]
+    ) -> None:
+        """Fail if any window has more retries than the budget allows.
 
-        Both are times in order. The requests count that were sent in the window, in the
-        one before, or in the one half a window before, whichever has most.
+        Both arguments are sorted times. The budget of a window is based on the largest
+        number of requests sent in that window, in the window half a length earlier, or
+        in the one a full length earlier.
         """
-        for first in repeats:
-            count = _count(repeats, first, first + self.window)
-            most = max(
-                _count(asked, first - shift, first - shift + self.window)
+        for first in retry_times:
+            count = _count(retry_times, first, first + self.window)
+            request_count = max(
+                _count(request_times, first - shift, first - shift + self.window)
                 for shift in (0.0, self.window / 2, self.window)
             )
-            allowed = self.ratio * most + self.allowance
+            allowed = self.ratio * request_count + self.allowance
             assert count <= allowed, (first, count, allowed)
 
 
 def _count(times: Sequence[float], begin: float, end: float) -> int:
-    """Return how many times lie from `begin` on and before `end`."""
+    """Return the number of times in the half-open interval from `begin` to `end`."""
     return bisect.bisect_left(times, end) - bisect.bisect_left(times, begin)
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""Jobs import ports, never adapters or fakes."""
+"""Domain packages import ports, never adapters, fakes or I/O libraries."""
 
 import ast
 from pathlib import Path
@@ -8,7 +8,7 @@
 import pepperstep
 
 ROOT = Path(pepperstep.__file__).parent
-JOBS = (
+DOMAIN_PACKAGES = (
     "claims",
     "configuration",
     "consensus",
@@ -23,7 +23,9 @@
     "rollouts",
     "routing",
 )
-MODULES = sorted(path for job in JOBS for path in (ROOT / job).glob("**/*.py"))
+MODULES = sorted(
+    path for package in DOMAIN_PACKAGES for path in (ROOT / package).glob("**/*.py")
+)
 
 
 def _imported_names(path: Path) -> set[str]:
@@ -37,11 +39,11 @@
 
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: str(path.relative_to(ROOT)))
-def test_job_imports_no_adapter(path):
-    outside = ("pepperstep.adapters", "pepperstep.fakes", "pepperstep.platform")
-    outside += ("grpc", "httpcore", "hypercorn", "socket", "time", "asyncio")
+def test_domain_package_imports_no_adapter(path):
+    forbidden = ("pepperstep.adapters", "pepperstep.fakes", "pepperstep.platform")
+    forbidden += ("grpc", "httpcore", "hypercorn", "socket", "time", "asyncio")
     assert not [
         name
         for name in _imported_names(path)
-        if name in outside or name.startswith(tuple(f"{each}." for each in outside))
+        if name in forbidden or name.startswith(tuple(f"{each}." for each in forbidden))
     ]
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,7 @@
-"""The list of tests that are passed over is short, whole and exact."""
+"""Parsing of KNOWN-RED.txt.
+
+A malformed, overlong or loosely matched list would hide failures of other tests.
+"""
 
 import pytest
 
@@ -7,18 +10,18 @@
 LINE = "tests/a.py::test_b | a cause | a command | what was seen | 7"
 
 
-def test_line_names_one_test_with_all_its_parameters():
-    listed = read_known_red(LINE + "\n\n")
-    assert find_known_red("tests/a.py::test_b", listed).issue == "7"
-    assert find_known_red("tests/a.py::test_b[x-1]", listed).cause == "a cause"
-    assert find_known_red("tests/a.py::test_bc", listed) is None
-    assert find_known_red("tests/a.py", listed) is None
+def test_line_matches_one_test_with_any_parameters():
+    entries = read_known_red(LINE + "\n\n")
+    assert find_known_red("tests/a.py::test_b", entries).issue == "7"
+    assert find_known_red("tests/a.py::test_b[x-1]", entries).cause == "a cause"
+    assert find_known_red("tests/a.py::test_bc", entries) is None
+    assert find_known_red("tests/a.py", entries) is None
 
 
 @pytest.mark.parametrize(
     "text", ["tests/a.py::test_b", LINE + " | more", "a | b | | d"]
 )
-def test_line_that_is_not_whole_is_an_error(text):
+def test_incomplete_line_is_an_error(text):
     with pytest.raises(ValueError):
         read_known_red(text)
 
--- a/tests/test_proofs.py
+++ b/tests/test_proofs.py
@@ -1,4 +1,8 @@
-"""The proofs' list of mechanisms against the code that they take them out of."""
+"""Source text that the proofs replace.
+
+A proof disables a mechanism by replacing a piece of source text. If the text is
+missing or occurs more than once, the proof tests something else.
+"""
 
 from pathlib import Path
 
@@ -11,5 +15,5 @@
 
 
 @pytest.mark.parametrize("cut", CUTS, ids=lambda cut: f"{cut.file}: {cut.old[:40]}")
-def test_text_to_be_replaced_stands_once(cut):
+def test_replaced_text_occurs_once(cut):
     assert (SOURCE / cut.file).read_text().count(cut.old) == 1
--- a/tests/test_splices.py
+++ b/tests/test_splices.py
@@ -1,4 +1,4 @@
-"""Splices: any document from any other one, and small where little has changed."""
+"""Splices turn any document into any other, and stay small for small changes."""
 
 import json
 
@@ -21,21 +21,21 @@
     assert apply_splices(old, make_splices(old, new)) == new
 
 
-def routes_with(count, **changes):
+def make_routes(count, **changes):
     routes = [{"name": f"r{number}", "timeout_ms": 100} for number in range(count)]
-    for place, value in changes.items():
-        routes[int(place[1:])] |= {"timeout_ms": value}
+    for key, value in changes.items():
+        routes[int(key[1:])] |= {"timeout_ms": value}
     return json.dumps({"version": len(changes), "routes": routes}).encode()
 
 
-def test_changes_far_from_each_other_are_several_splices():
-    old, new = routes_with(1000), routes_with(1000, r500=7, r999=8)
+def test_distant_changes_become_separate_splices():
+    old, new = make_routes(1000), make_routes(1000, r500=7, r999=8)
     splices = make_splices(old.replace(b" ", b""), new.replace(b" ", b""))
     assert sum(len(each.inserted) for each in splices) < 20
     assert sum(each.removed for each in splices) < 20
 
 
-def test_removed_and_added_members_are_told_alone():
+def test_splices_hold_only_removed_and_added_members():
     members = [b'{"name":"r%d"},' % number for number in range(500)]
     old = b"".join(members)
     new = b"".join(
@@ -55,6 +55,6 @@
         [Splice(3, 0, b"x"), Splice(1, 0, b"y")],
     ],
 )
-def test_splices_that_do_not_fit(splices):
+def test_invalid_splices_are_rejected(splices):
     with pytest.raises(ValueError, match="doesn't fit"):
         apply_splices(b"abcde", splices)
