--- a/tests/fuzz/__init__.py
+++ b/tests/fuzz/__init__.py
@@ -1,1 +1,1 @@
-"""Any bytes and any values at each border."""
+"""Property tests that feed arbitrary bytes and values to each external interface."""
--- a/tests/fuzz/messages.py
+++ b/tests/fuzz/messages.py
@@ -1,4 +1,4 @@
-"""Messages of any type with any values, drawn by Hypothesis."""
+"""Hypothesis strategies for protobuf messages and damaged bytes."""
 
 from google.protobuf.descriptor import FieldDescriptor
 from google.protobuf.message import Message
@@ -55,7 +55,7 @@
 
 @st.composite
 def messages_of(draw, message_type: type[Message], depth: int = 0) -> Message:
-    """Return a message of the type with some of its fields set to any values."""
+    """Draw a message of the given type with arbitrary values in some of its fields."""
     message = message_type()
     for field in message_type.DESCRIPTOR.fields:
         if draw(st.integers(0, 4)) == 0 and depth:
@@ -68,36 +68,36 @@
     if field.message_type is not None:
         _fill_message(draw, message, field, depth)
     elif field.is_repeated:
-        values = draw(st.lists(_value_of(field), max_size=3))
+        values = draw(st.lists(_values_of(field), max_size=3))
         getattr(message, field.name).extend(values)
     else:
-        setattr(message, field.name, draw(_value_of(field)))
+        setattr(message, field.name, draw(_values_of(field)))
 
 
 def _fill_message(draw, message: Message, field: FieldDescriptor, depth: int) -> None:
     if depth >= _MAX_DEPTH:
         return
-    parts = messages_of(GetMessageClass(field.message_type), depth + 1)
+    submessages = messages_of(GetMessageClass(field.message_type), depth + 1)
     if field.is_repeated:
-        getattr(message, field.name).extend(draw(st.lists(parts, max_size=2)))
+        getattr(message, field.name).extend(draw(st.lists(submessages, max_size=2)))
     else:
-        getattr(message, field.name).CopyFrom(draw(parts))
+        getattr(message, field.name).CopyFrom(draw(submessages))
 
 
-def _value_of(field: FieldDescriptor) -> st.SearchStrategy:
+def _values_of(field: FieldDescriptor) -> st.SearchStrategy:
     if field.type == FieldDescriptor.TYPE_BYTES:
         return st.binary(max_size=8)
     if field.type == FieldDescriptor.TYPE_ENUM:
         known = [value.number for value in field.enum_type.values]
-        # Senders of a later release may have more.
+        # A sender of a later release may use values that this release doesn't know.
         return st.sampled_from([*known, known[-1] + 1])
     return _VALUES[field.cpp_type]
 
 
 @st.composite
 def cut_or_flipped(draw, data: bytes) -> bytes:
-    """Return `data` with a byte changed, cut off, doubled or put in."""
-    place = draw(st.integers(0, max(0, len(data) - 1)))
+    """Draw `data` with bytes replaced, removed, repeated or inserted."""
+    index = draw(st.integers(0, max(0, len(data) - 1)))
     tail = draw(st.binary(max_size=4))
-    kept = draw(st.sampled_from([place, place + 1, len(data)]))
-    return data[:place] + tail + data[kept:]
+    resume_at = draw(st.sampled_from([index, index + 1, len(data)]))
+    return data[:index] + tail + data[resume_at:]
--- a/tests/fuzz/test_answers.py
+++ b/tests/fuzz/test_answers.py
@@ -1,4 +1,8 @@
-"""Whatever upstreams and the platform answer, the error is the port's own."""
+"""Arbitrary answers of upstreams and the platform.
+
+A damaged answer must raise one of the port's errors. Any other exception would end
+the host that reads the answer.
+"""
 
 import json
 import math
@@ -104,7 +108,7 @@
     "state": "running",
 }
 OFFERS = [{key: HOST[key] for key in ("zone", "machine", "price_class", "price")}]
-# A call of an upstream, and the body of a good answer to it.
+# Call of an upstream, and the body of a valid answer.
 UPSTREAM_CALLS = {
     "generate": (generate, EVENTS),
     "cancel": (lambda c: c.cancel(UPSTREAM, "a.1"), b'{"is_ended": true}'),
@@ -116,7 +120,7 @@
     ),
     "state": (read_state, json.dumps(STATE).encode()),
 }
-# A call of the platform, its client, and the body of a good answer.
+# Client, call of the platform, and the body of a valid answer.
 PLATFORM_CALLS = {
     "offers": (HttpCloud, lambda c: c.list_offers(), {"offers": OFFERS}),
     "hosts": (HttpCloud, lambda c: c.list_hosts(), {"hosts": [HOST]}),
@@ -133,7 +137,7 @@
 
 
 class Answering(httpcore.AsyncNetworkBackend):
-    """Every connection answers with the same parts, then ends or stays silent."""
+    """Network whose connections all send the same parts, then close or hang."""
 
     def __init__(self, parts: list[bytes], is_silent: bool):
         self._parts = parts
@@ -193,25 +197,25 @@
 
 @st.composite
 def answers(draw, good: bytes) -> list[bytes]:
-    """Return the parts of an answer, damaged in its head, its body or its end."""
+    """Draw the parts of an HTTP answer whose head, body or end may be damaged."""
     body = draw(
         st.just(good)
         | cut_or_flipped(good)
         | st.binary(max_size=40)
-        | _with_numbers(good)
+        | _with_extreme_numbers(good)
         | st.just(good + good)
     )
     lines = [b"HTTP/1.1 %d X" % draw(STATUSES), *draw(st.lists(HEADERS, max_size=2))]
     if draw(st.booleans()):
         lines.append(b"Content-Length: %d" % len(body))
-    whole = b"\r\n".join(lines) + b"\r\n\r\n" + body
+    message = b"\r\n".join(lines) + b"\r\n\r\n" + body
     if draw(st.integers(0, 3)) == 0:
-        whole = draw(cut_or_flipped(whole))
-    place = draw(st.integers(0, len(whole)))
-    return [part for part in (whole[:place], whole[place:]) if part]
+        message = draw(cut_or_flipped(message))
+    split_at = draw(st.integers(0, len(message)))
+    return [part for part in (message[:split_at], message[split_at:]) if part]
 
 
-def _with_numbers(good: bytes) -> st.SearchStrategy[bytes]:
+def _with_extreme_numbers(good: bytes) -> st.SearchStrategy[bytes]:
     numbers = st.sampled_from([b"-1", b"1e400", b"9" * 30, b"0.5", b"null", b"[]"])
     return numbers.map(lambda n: good.replace(b": 3", b": " + n).replace(b": 4", n))
 
@@ -272,14 +276,14 @@
     ],
     ids=["endless", "huge", "twice", "half of a pair", "no UTF-8", "count", "sign"],
 )
-def test_damaged_streams_are_lost(parts):
+def test_damaged_streams_raise_upstream_lost(parts):
     client = HttpUpstreams("key")
     client._backend = Answering([HEAD, *parts], False)
     assert isinstance(run(generate, client), UpstreamLost)
 
 
 @pytest.mark.parametrize("client_type", [HttpCloud, HttpWeights])
-def test_numbers_of_the_platform_that_no_message_carries(client_type):
+def test_numbers_too_large_for_a_message_are_an_error(client_type):
     client = client_type("http://10.0.0.1:80")
     body = json.dumps({"notices": [{"id": 10**30, "host_id": "h", "at": 5.0}]})
     backend = Answering([HEAD, body.encode()], False)
--- a/tests/fuzz/test_borders.py
+++ b/tests/fuzz/test_borders.py
@@ -1,4 +1,7 @@
-"""Files, settings, documents and event ids with any values."""
+"""Arbitrary settings, documents, event ids and stored files.
+
+Invalid input must be reported as an error of its kind, not as another exception.
+"""
 
 import tempfile
 from pathlib import Path
@@ -48,15 +51,15 @@
 
 @st.composite
 def changed(draw, table: dict) -> dict:
-    """Return the table with one to three values replaced, at any depth."""
+    """Draw a copy of the table with one to three values replaced at any depth."""
     table = _copy(table)
     for _ in range(draw(st.integers(1, 3))):
-        place = table
-        key = draw(st.sampled_from(sorted(place)))
-        while isinstance(place[key], dict) and place[key] and draw(st.booleans()):
-            place = place[key]
-            key = draw(st.sampled_from(sorted(place)))
-        place[key] = draw(VALUES)
+        subtable = table
+        key = draw(st.sampled_from(sorted(subtable)))
+        while isinstance(subtable[key], dict) and subtable[key] and draw(st.booleans()):
+            subtable = subtable[key]
+            key = draw(st.sampled_from(sorted(subtable)))
+        subtable[key] = draw(VALUES)
     return table
 
 
--- a/tests/fuzz/test_machines.py
+++ b/tests/fuzz/test_machines.py
@@ -1,4 +1,8 @@
-"""A command or snapshot of any bytes gives the same on all control hosts."""
+"""State machines fed with arbitrary commands and snapshots.
+
+Control hosts whose machines answer the same command differently would diverge. An
+exception would end each host that applies the command.
+"""
 
 import hashlib
 
@@ -33,7 +37,7 @@
     digest=hashlib.sha256(BASE_TEXT.encode()).digest(),
     text=BASE_TEXT,
 )
-# Machine, its command, its snapshot, its results, and a good first command.
+# Machine, its command, snapshot and result types, and a valid first command.
 MACHINES = [
     (
         ClaimMachine,
--- a/tests/fuzz/test_peer_messages.py
+++ b/tests/fuzz/test_peer_messages.py
@@ -1,4 +1,7 @@
-"""Whatever a peer sends, a host answers with a type and goes on serving."""
+"""Arbitrary messages and bytes from peers.
+
+An exception other than `Failure` in a message handler would end the host.
+"""
 
 import itertools
 import math
@@ -30,7 +33,8 @@
 from tests.fuzz.messages import cut_or_flipped, messages_of
 from tests.whole.test_whole_hosts import start_hosts
 
-# Shrinking starts whole hosts over and over; the message is printed as it is.
+# Without shrinking, which would start whole hosts for each attempt. The failing
+# message is in a note of the exception.
 FUZZ = settings(
     derandomize=True,
     deadline=None,
@@ -39,17 +43,17 @@
 )
 BYTES = settings(max_examples=300, derandomize=True, deadline=None)
 SENDERS = st.sampled_from(["entry-0", "entry-1", "entry-2", "stranger", ""])
-# No handler may take longer, in virtual seconds.
+# Limit for a handler in virtual seconds.
 HANG_SECONDS = 60.0
 MAX_NUMBER = 2**64 - 1
-# Each round holds one message of every kind that a host handles. Drawn apart,
-# since six rounds are more than Hypothesis draws for one example.
+# Each round has one message of every type that a host handles. Every round is an
+# example of its own, as six rounds exceed Hypothesis's buffer for one example.
 ROUNDS = 60
 
 
 @dataclass(frozen=True)
 class SentMessage:
-    """What a host gets, and from whom."""
+    """Message with its sender."""
 
     message: Message
     sender: str
@@ -60,18 +64,18 @@
 
 
 async def send(hosts: FakeHosts, message: Message, sender: str) -> None:
-    """Hand a message to each host, which must answer it."""
+    """Deliver a message to each host, which must answer within the limit."""
     data = codec.encode(message, sender)
     for name in hosts.places:
         with trio.fail_after(HANG_SECONDS):
             answer = await hosts.network._peers[name].receive(data)
-        # Other exceptions than `Failure` end the fake host, and so the test.
+        # Any other exception in a handler ends the fake host and fails the test.
         with suppress(Failure):
             codec.decode(answer)
 
 
 def draw_rounds(count: int) -> list[list[SentMessage]]:
-    """Draw rounds of messages of all kinds, the same in every run."""
+    """Draw rounds of messages of all handled types, the same in every run."""
     kinds = handled_kinds()
     rounds = []
 
@@ -102,7 +106,7 @@
 
 
 async def feed_rounds(rounds: list[list[SentMessage]]) -> None:
-    """Start hosts, send them the messages of some rounds, and ask for answers."""
+    """Start hosts, deliver rounds of messages, and check that the hosts still serve."""
     async with start_hosts(3) as hosts:
         for sent in itertools.chain.from_iterable(rounds):
             try:
@@ -125,7 +129,7 @@
 
 @pytest.mark.parametrize("rounds_each", [1, 6], ids=["short", "long"])
 def test_any_values_in_each_handled_message(rounds_each):
-    """Hosts serve on after one round of messages, and after six without a pause."""
+    """Hosts keep serving after one round of messages, and after six without a pause."""
     rounds = draw_rounds(ROUNDS)
     assert len(rounds) >= ROUNDS
     for start in range(0, ROUNDS, rounds_each):
@@ -175,7 +179,7 @@
     ],
     ids=lambda message: message.DESCRIPTOR.name,
 )
-def test_what_ended_a_host_before(message):
+def test_host_survives_malformed_message(message):
     async def feed() -> None:
         async with start_hosts(3) as hosts:
             await send(hosts, message, "entry-2")
@@ -200,8 +204,8 @@
         assert isinstance(sender, str)
 
 
-async def test_damaged_frames_leave_the_host_serving():
-    """A damaged envelope is answered, and a damaged stream just ends."""
+async def test_host_serves_after_damaged_frames():
+    """A damaged envelope gets a failure as answer, and a damaged stream ends."""
     (port,) = free_ports(1)
     good = codec.encode(journal_pb2.CancelRequest(request_id="a"), "b")
     async with trio.open_nursery() as nursery:
@@ -232,7 +236,7 @@
 
 
 class DamagedAnswers:
-    """A peer's side of a stream whose first answer can't be decoded."""
+    """Server side of a stream whose first answer can't be decoded."""
 
     def __init__(self, batches):
         self._batches = batches
--- a/tests/fuzz/test_times.py
+++ b/tests/fuzz/test_times.py
@@ -1,4 +1,8 @@
-"""Times that are over, or are none."""
+"""Timeouts that have already expired.
+
+The rest of a timeout can be zero or slightly negative when a deadline passes between
+two waits, and trio rejects negative values.
+"""
 
 import random
 
@@ -13,14 +17,14 @@
 
 @pytest.mark.parametrize("timers_type", [TrioTimers, FakeTimers])
 @pytest.mark.parametrize("seconds", [-1.0, -1e-17, 0.0])
-async def test_a_time_that_is_over_ends_a_block_at_once(timers_type, seconds):
+async def test_expired_timeout_cancels_block_at_once(timers_type, seconds):
     with timers_type(random.Random(1)).move_on_after(seconds) as scope:
         await trio.sleep_forever()
     assert scope.cancelled_caught
 
 
 async def test_proposals_at_a_leader_without_quorum_time_out():
-    """On the real clock, where a wait ends a little behind its deadline."""
+    """Runs on the real clock, where a wait ends slightly after its deadline."""
     async with start_hosts(3) as hosts:
         leader = hosts.hosts[hosts.leader]
         hosts.network.isolate(hosts.leader)
