--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small programs that stand in for the systems outside of pepperstep."""
+"""Stand-in programs for the external systems that pepperstep talks to."""
--- a/standins/announcing.py
+++ b/standins/announcing.py
@@ -1,4 +1,4 @@
-"""How stand-ins announce themselves at entry hosts."""
+"""Announcement of stand-in upstreams at entry hosts."""
 
 from collections.abc import Callable, Sequence
 
@@ -8,7 +8,7 @@
 
 __all__ = ["announce"]
 
-_ANSWER_SECONDS = 1.0
+_ANSWER_TIMEOUT_SECONDS = 1.0
 
 
 async def announce(
@@ -17,25 +17,25 @@
     heartbeat_seconds: float,
     describe: Callable[[], dict],
 ) -> None:
-    """Renew the lease at each entry host, one after another, until cancelled.
+    """Renew the lease at each entry host in turn, until cancelled.
 
-    `describe` returns the announcement as it's now, without its sequence number.
+    `describe` returns the current announcement without its sequence number.
     """
     sequence = 0
-    # The last lease of each entry host, and when it came.
+    # Token of the last lease from each entry host, and when it was received.
     leases: dict[str, tuple[str, float]] = {}
     async with httpcore.AsyncConnectionPool() as pool:
         while True:
             for url in entry_hosts:
                 sequence += 1
-                token, came_at = leases.pop(url, ("", trio.current_time()))
+                token, received_at = leases.pop(url, ("", trio.current_time()))
                 message = {
                     **describe(),
                     "sequence": sequence,
                     "token": token,
-                    "held_seconds": trio.current_time() - came_at,
+                    "held_seconds": trio.current_time() - received_at,
                 }
-                with trio.move_on_after(_ANSWER_SECONDS):
+                with trio.move_on_after(_ANSWER_TIMEOUT_SECONDS):
                     token = await _announce_at(pool, url, key, message)
                     leases[url] = (token, trio.current_time())
             await trio.sleep(heartbeat_seconds)
@@ -44,7 +44,7 @@
 async def _announce_at(
     pool: httpcore.AsyncConnectionPool, url: str, key: str, message: dict
 ) -> str:
-    """Return the token of the lease, "" if there is none."""
+    """Announce once and return the token of the lease, "" if there is none."""
     headers = {"authorization": f"Bearer {key}"}
     content = msgspec.json.encode(message)
     try:
--- a/standins/cloud.py
+++ b/standins/cloud.py
@@ -1,9 +1,9 @@
 """Stand-in for the cloud API (docs/interfaces-platform.md).
 
-It starts no process: who runs the demo polls `GET /standin/v1/hosts` and runs
-an engine on each host that is running or being reclaimed. Faults are switched
-by `POST /standin/v1/faults` with the names of `Faults`, reclaims come by
-`POST /standin/v1/reclaim` with those of `Reclaim`.
+It starts no processes: the program that uses it polls `GET /standin/v1/hosts` and
+runs an engine for each host that is running or being reclaimed.
+`POST /standin/v1/faults` with the fields of `Faults` sets the faults, and
+`POST /standin/v1/reclaim` with the fields of `Reclaim` reclaims hosts.
 """
 
 import time
@@ -28,21 +28,21 @@
 
 
 class Faults(msgspec.Struct):
-    """Faults that can be switched on while it runs."""
+    """Faults that can be set while the cloud runs."""
 
-    # Refuses starts in these availability zones, price classes or ZONE/CLASS.
+    # Refuse starts in these availability zones, price classes or ZONE/CLASS pairs.
     refused: list[str] = []
     retry_after: float = 1.0
-    # Added to each answer, in seconds.
+    # Extra seconds per call.
     slow_seconds: float = 0.0
-    # Answers with status 500.
+    # Answer with status 500.
     fail: bool = False
-    # Carries the call out and answers with what isn't JSON.
+    # Execute each call but answer with invalid JSON.
     wrong: bool = False
 
 
 class Reclaim(msgspec.Struct):
-    """Take back a host, or all reclaimable hosts of an availability zone."""
+    """Reclaim of a host, or of all reclaimable hosts of an availability zone."""
 
     seconds: float
     zone: str = ""
@@ -80,7 +80,7 @@
 
     @property
     def state(self) -> str:
-        """State now."""
+        """Current state."""
         now = time.time()
         if now >= min(self.stopped_at, self.reclaimed_at):
             return "stopped"
@@ -89,13 +89,13 @@
         return "running" if now >= self.running_at else "starting"
 
     def to_json(self) -> dict:
-        """Return the fields of the interface."""
+        """Return the fields that the cloud API shows."""
         names = ("id", "token", "zone", "machine", "price_class", "price", "deployment")
         return {**{name: getattr(self, name) for name in names}, "state": self.state}
 
 
 class Cloud:
-    """Offers, hosts and notices."""
+    """Cloud with offers, hosts and reclaim notices."""
 
     def __init__(self, offers: list[_Offer]):
         self.offers = offers
@@ -104,7 +104,7 @@
         self.faults = Faults()
 
     def application(self) -> Application:
-        """Return its HTTP interface."""
+        """Return the HTTP interface."""
         application = Application()
         for method, prefix, route in (
             ("GET", "/cloud/v1/offers", self._list_offers),
@@ -116,7 +116,7 @@
             application.add(method, prefix, self._with_faults(route))
         application.add("POST", "/standin/v1/faults", self._set_faults)
         application.add("POST", "/standin/v1/reclaim", self._reclaim)
-        application.add("GET", "/standin/v1/hosts", self._list_all)
+        application.add("GET", "/standin/v1/hosts", self._list_all_hosts)
         application.add("POST", "/standin/v1/hosts", self._add_host)
         return application
 
@@ -137,7 +137,7 @@
         hosts = [host.to_json() for host in self.hosts if host.state != "stopped"]
         return json_reply({"hosts": hosts})
 
-    async def _list_all(self, body: bytes, scope: dict) -> Reply:
+    async def _list_all_hosts(self, body: bytes, scope: dict) -> Reply:
         return json_reply({"hosts": [host.to_json() for host in self.hosts]})
 
     async def _start_host(self, body: bytes, scope: dict) -> Reply:
@@ -154,15 +154,17 @@
             error = msgspec.json.encode({"error": f"no host in {pool}"})
             headers = ((b"retry-after", retry_after),)
             return Reply(503, error, headers=headers)
-        return json_reply(self._rent(start, offer, _START_SECONDS.value).to_json())
+        return json_reply(
+            self._create_host(start, offer, _START_SECONDS.value).to_json()
+        )
 
     async def _add_host(self, body: bytes, scope: dict) -> Reply:
-        """Add a running host that another has started."""
+        """Add a running host that wasn't started through the cloud API."""
         start = msgspec.json.decode(body, type=_Start)
         offer = self._find_offer(start)
         if offer is None:
             return json_reply({"error": "no such offer"}, 404)
-        return json_reply(self._rent(start, offer, 0.0).to_json())
+        return json_reply(self._create_host(start, offer, 0.0).to_json())
 
     async def _stop_host(self, body: bytes, scope: dict) -> Reply:
         host_id = unquote(scope["path"].removeprefix(f"{_HOSTS}/"))
@@ -184,14 +186,14 @@
 
     async def _reclaim(self, body: bytes, scope: dict) -> Reply:
         reclaim = msgspec.json.decode(body, type=Reclaim)
-        taken = [host for host in self.hosts if _is_meant(host, reclaim)]
-        for host in taken:
+        reclaimed_hosts = [host for host in self.hosts if _is_selected(host, reclaim)]
+        for host in reclaimed_hosts:
             host.reclaimed_at = time.time() + reclaim.seconds
             number = len(self.notices) + 1
             self.notices.append(
                 {"id": number, "host_id": host.id, "at": host.reclaimed_at}
             )
-        return json_reply({"host_ids": [host.id for host in taken]})
+        return json_reply({"host_ids": [host.id for host in reclaimed_hosts]})
 
     def _find_offer(self, start: _Start) -> _Offer | None:
         wanted = (start.zone, start.machine, start.price_class)
@@ -200,7 +202,7 @@
                 return offer
         return None
 
-    def _rent(self, start: _Start, offer: _Offer, boot_seconds: float) -> _Host:
+    def _create_host(self, start: _Start, offer: _Offer, boot_seconds: float) -> _Host:
         now = time.time()
         host = _Host(
             id=f"host-{len(self.hosts) + 1}",
@@ -217,7 +219,7 @@
         return host
 
 
-def _is_meant(host: _Host, reclaim: Reclaim) -> bool:
+def _is_selected(host: _Host, reclaim: Reclaim) -> bool:
     if host.state not in ("starting", "running"):
         return False
     if reclaim.host_id:
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,8 +1,8 @@
 """Stand-in for a model engine.
 
-Batches continuously, keeps a prefix cache of limited size, and generates the
-text that `standins.text` defines. Faults are switched on by flags, or by
-`POST /standin/v1/faults` with the names of `Faults`.
+The engine uses continuous batching and a bounded prefix cache, and generates the
+text that `standins.text` defines. Faults are set by flags, or by
+`POST /standin/v1/faults` with the fields of `Faults`.
 """
 
 import os
@@ -47,20 +47,21 @@
 
 
 class Faults(msgspec.Struct):
-    """Faults that can be switched on while it runs."""
+    """Faults that can be set while the engine runs."""
 
-    # Added to each decode step, in seconds.
+    # Extra seconds per decode step.
     slow_seconds: float = 0.0
-    # Streams end after this many tokens without an end mark.
+    # Position in the answer at which streams end without an end mark, 0 for none.
     cut_after: int = 0
-    # Sends each chunk twice, or leaves each third one out.
+    # Send each chunk twice.
     double: bool = False
+    # Omit every third chunk.
     gap: bool = False
-    # Puts another attempt's id into each chunk.
+    # Put another attempt's id into each chunk.
     cross: bool = False
-    # Answers with status 500.
+    # Answer with status 500.
     fail: bool = False
-    # Takes connections and never answers.
+    # Accept connections but never answer.
     hang: bool = False
 
 
@@ -76,7 +77,7 @@
 
 
 class _Attempt:
-    """An attempt in the batch."""
+    """Attempt that runs or waits for a slot."""
 
     def __init__(self, order: _Order):
         self.order = order
@@ -86,12 +87,12 @@
 
     @property
     def tokens(self) -> int:
-        """Tokens in its KV cache."""
+        """Number of tokens in the KV cache of the attempt."""
         return count_tokens(self.order.prompt) + self.position
 
 
 class Engine:
-    """The engine's state."""
+    """Model engine with its models, attempts, cache and faults."""
 
     def __init__(self) -> None:
         self.epoch = time.time_ns() // 1_000_000
@@ -109,20 +110,20 @@
         self._imported: dict[str, int] = {}
 
     def application(self) -> Application:
-        """Return its HTTP interface."""
+        """Return the HTTP interface."""
         application = Application()
         application.add("POST", "/engine/v1/generate", self._generate)
         application.add("POST", "/engine/v1/cancel", self._cancel)
         application.add("POST", "/engine/v1/kv/export", self._export)
         application.add("POST", "/engine/v1/kv/import", self._import)
-        application.add("POST", "/upstream/v1/orders", self._take_order)
+        application.add("POST", "/upstream/v1/orders", self._execute_order)
         application.add("POST", "/upstream/v1/state", self._read_state)
         application.add("POST", "/standin/v1/faults", self._set_faults)
         application.add("GET", "/standin/v1/counts", self._read_counts)
         return application
 
     def describe(self) -> dict:
-        """Return its announcement."""
+        """Return the announcement without its sequence number."""
         return {
             "name": _NAME.value,
             "epoch": self.epoch,
@@ -161,7 +162,7 @@
         try:
             with attempt.scope:
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(_cancel_at_disconnect, scope, attempt.scope)
+                    nursery.start_soon(_cancel_on_disconnect, scope, attempt.scope)
                     await self._run_attempt(attempt, scope["send"])
                     nursery.cancel_scope.cancel()
         finally:
@@ -222,7 +223,7 @@
         await _send_event(send, mark, False)
 
     def _cached_tokens(self, prompt: str) -> int:
-        """Return the prompt's cached tokens, and keep the whole prompt."""
+        """Return the number of cached prompt tokens, and cache the whole prompt."""
         data = prompt.encode()
         cached = 0
         digest = 0
@@ -269,7 +270,7 @@
         self._imported[message["attempt_id"]] = message["tokens"]
         return json_reply({})
 
-    async def _take_order(self, body: bytes, scope: dict) -> Reply:
+    async def _execute_order(self, body: bytes, scope: dict) -> Reply:
         order = msgspec.json.decode(body)
         if _CHECKS_FENCING.value and order["fence"] < self.fence:
             return json_reply({"error": "old fencing number"}, 409)
@@ -314,7 +315,7 @@
 }
 
 
-async def _cancel_at_disconnect(scope: dict, cancel: trio.CancelScope) -> None:
+async def _cancel_on_disconnect(scope: dict, cancel: trio.CancelScope) -> None:
     while (await scope["receive"]())["type"] != "http.disconnect":
         continue
     cancel.cancel()
--- a/standins/platform_site.py
+++ b/standins/platform_site.py
@@ -1,8 +1,8 @@
-"""A small deployment on loopback: real daemons, and the platform's side of it.
+"""Small deployment of real daemons on loopback, with a stand-in for the platform.
 
-Each host has an address of its own in 127.0.0.0/8, so that all can use the same
-ports, as on the platform's machines. The stand-in sends what operators, callers
-and upstreams send, by the published messages.
+Each host has its own address in 127.0.0.0/8, so that all hosts can use the same
+ports, as on the platform's machines. The stand-in sends the published messages of
+operators, callers and upstreams.
 """
 
 import json
@@ -32,7 +32,7 @@
 
 _DAEMON = Path(__file__).resolve().parent.parent / "deploy" / "pepperstepd.py"
 _NETWORK = "127.53"
-# Between two looks at a condition that is waited for, and before it's given up.
+# Period of polls of an awaited condition, and the timeout of the wait.
 _POLL_SECONDS = 0.05
 _WAIT_SECONDS = 30.0
 _STOP_SECONDS = 20.0
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Received:
-    """An answer as a caller or operator has received it."""
+    """Answer received by a caller or operator."""
 
     status: int
     headers: dict[bytes, bytes]
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True)
 class Daemon:
-    """A host's process and its addresses."""
+    """Process of a host, with its address and log file."""
 
     name: str
     ip: str
@@ -57,12 +57,12 @@
     log: Path
 
     def stop(self, number: signal.Signals = signal.SIGTERM) -> None:
-        """Send the process a signal."""
+        """Send a signal to the process."""
         self.process.send_signal(number)
 
 
 class StandInUpstream:
-    """Answers requests as the platform's upstreams do, and announces itself."""
+    """Upstream that answers requests and announces itself as on the platform."""
 
     def __init__(self, name: str, service: str, address: str):
         self.name = name
@@ -70,15 +70,18 @@
         self.address = address
         self.seen: list[RequestHead] = []
         self.sequence = 0
-        # What it announces, "" while it announces nothing.
+        # Announced state, "" to send no announcements.
         self.state = "ready"
-        # States that control hosts have acknowledged.
+        # Announced states that a control host has acknowledged.
         self.acknowledged: set[str] = set()
-        # Of its software.
+        # Announced software version.
         self.version = "v1"
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one request: a stream of three events, or its own body."""
+        """Answer with a stream of three events, or with the body of the request.
+
+        A request meant for another upstream gets status 421.
+        """
         self.seen.append(exchange.head)
         attempt = exchange.head.first(b"pepperstep-attempt-id")
         headers = (
@@ -97,7 +100,7 @@
             await exchange.finish()
 
     def beat(self) -> bytes:
-        """Return the next announcement."""
+        """Return the body of the next announcement."""
         self.sequence += 1
         return json.dumps(
             {
@@ -113,7 +116,10 @@
 
 
 class Site:
-    """Daemons by name, in `folder`; `port` is the first of five that are free."""
+    """Deployment whose settings, data and logs are in `folder`.
+
+    `port` is the first of five consecutive free ports.
+    """
 
     def __init__(self, folder: Path, port: int, nursery: trio.Nursery):
         self._folder = folder
@@ -126,7 +132,7 @@
     @classmethod
     @asynccontextmanager
     async def open(cls, folder: Path) -> AsyncIterator["Site"]:
-        """Give a site; all its daemons are ended at the close."""
+        """Yield a site, and kill its remaining daemons at the end of the block."""
         async with trio.open_nursery() as nursery:
             site = cls(folder, _free_port(), nursery)
             try:
@@ -136,7 +142,10 @@
                 nursery.cancel_scope.cancel()
 
     def start(self, name: str, number: int, *, is_first: bool, seeds: list[int]):
-        """Start a daemon: a control host if its name begins so, else an entry host."""
+        """Start a daemon: a control host if `name` starts with "control".
+
+        Any other name starts an entry host.
+        """
         ip = self._ip(number)
         is_control = name.startswith("control")
         settings = self._settings(name, ip, is_control, is_first, seeds)
@@ -155,7 +164,7 @@
             self.controls.append(ip)
 
     def address(self, name: str) -> str:
-        """Return where an entry host takes callers' requests."""
+        """Return the address at which an entry host accepts callers' requests."""
         return f"{self.daemons[name].ip}:{self._port + 3}"
 
     async def upstream(
@@ -165,7 +174,7 @@
         number: int,
         kind: type[StandInUpstream] = StandInUpstream,
     ) -> StandInUpstream:
-        """Start an upstream that announces itself until the site is closed."""
+        """Start an upstream that announces itself until the site closes."""
         address = f"{self._ip(number)}:{self._port}"
         upstream = kind(name, service, address)
         server = Http1Server(address, upstream.handle, CallerLimits, trio.current_time)
@@ -174,7 +183,7 @@
         return upstream
 
     async def operate(self, method: bytes, path: str, body: bytes = b"") -> Received:
-        """Send a call to control hosts until one answers it clearly."""
+        """Send a call to each control host in turn until a status is below 500."""
         with trio.fail_after(_WAIT_SECONDS):
             while True:
                 for ip in self.controls:
@@ -184,7 +193,7 @@
                 await trio.sleep(_POLL_SECONDS)
 
     async def resolve(self) -> list[str]:
-        """Return the entry hosts' addresses as the first directory tells them."""
+        """Return the entry hosts' addresses from the first control host's directory."""
         path = "/-/resolve?name=a.example&region=r1&zone=z1"
         received = await self._send(self.controls[0], 2, b"GET", path)
         if received is None or received.status != 200:
@@ -194,28 +203,31 @@
     async def request(
         self, name: str, path: str, *headers: tuple[bytes, bytes], body: bytes = b""
     ) -> Received | None:
-        """Send a caller's request to an entry host; None if there's no answer."""
+        """Send a caller's request to an entry host.
+
+        Return None if the connection fails or no answer arrives in time.
+        """
         common = {
             b"pepperstep-attempt-id": b"9c41",
             b"pepperstep-deadline-ms": b"10000",
         }
         ip = self.daemons[name].ip
-        given = tuple((common | dict(headers)).items())
-        return await self._send(ip, 3, b"POST", path, body, given)
+        all_headers = tuple((common | dict(headers)).items())
+        return await self._send(ip, 3, b"POST", path, body, all_headers)
 
     async def is_ready(self, name: str) -> bool:
-        """Whether an entry host says that it takes requests."""
+        """Whether an entry host reports that it is ready."""
         received = await self._send(self.daemons[name].ip, 4, b"GET", "/-/ready")
         return received is not None and received.status == 200
 
     async def wait(self, condition) -> None:
-        """Return once the asynchronous condition holds."""
+        """Poll an asynchronous condition and return once it holds."""
         with trio.fail_after(_WAIT_SECONDS):
             while not await condition():
                 await trio.sleep(_POLL_SECONDS)
 
     async def wait_end(self, name: str) -> int:
-        """Return the exit code of a daemon that was told to stop."""
+        """Wait until a stopping daemon exits, and return its exit code."""
         process = self.daemons[name].process
         with trio.fail_after(_STOP_SECONDS):
             while process.poll() is None:
@@ -223,7 +235,7 @@
         return process.returncode
 
     def end(self) -> None:
-        """Kill what still runs."""
+        """Kill all daemons that still run."""
         for daemon in self.daemons.values():
             if daemon.process.poll() is None:
                 daemon.process.kill()
@@ -299,7 +311,7 @@
 
 
 def _free_port() -> int:
-    """Return a port that was free a moment ago, as were those behind it, likely."""
+    """Return a port that was just free. The four ports after it are probably free."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return min(probe.getsockname()[1], 65_000)
--- a/standins/service.py
+++ b/standins/service.py
@@ -1,8 +1,8 @@
 """Stand-in for a plain service.
 
-It counts how often each body ran, by its SHA-256 in hexadecimal. Faults are
-switched by `POST /standin/v1/faults` with the names of `Faults`. Each run is
-written to a file before it begins, so that runs are known after a death.
+It counts the runs of each request body by the body's SHA-256 in hexadecimal.
+`POST /standin/v1/faults` with the fields of `Faults` sets the faults. Each run is
+written to a file before it begins, so that the count survives a crash.
 """
 
 import hashlib
@@ -36,21 +36,21 @@
 
 
 class Faults(msgspec.Struct):
-    """Faults that can be switched on while it runs."""
+    """Faults that can be set while the service runs."""
 
-    # Added to each call, in seconds.
+    # Extra seconds per call.
     slow_seconds: float = 0.0
-    # Runs the call and answers with status 500.
+    # Run each call and answer with status 500.
     fail: bool = False
-    # Refuses calls, which surely don't run.
+    # Refuse each call without running it.
     refuse: bool = False
-    # Ends its process at the next call: "before" it runs, "during" the run, or
-    # "after" it, before the answer.
+    # Exit at the next call: "before" the run, "during" the run, or "after" the run
+    # but before the answer.
     dies: str = ""
 
 
 class Service:
-    """Counts of runs, and faults."""
+    """Plain service with run counts and injected faults."""
 
     def __init__(self) -> None:
         self.epoch = time.time_ns() // 1_000_000
@@ -60,7 +60,7 @@
         self._slots = trio.CapacityLimiter(_SLOTS.value)
 
     def application(self) -> Application:
-        """Return its HTTP interface; calls may have any other path."""
+        """Return the HTTP interface; every other path is a call."""
         application = Application()
         application.add("POST", "/standin/v1/faults", self._set_faults)
         application.add("GET", "/standin/v1/counts", self._read_counts)
@@ -69,7 +69,7 @@
         return application
 
     def describe(self) -> dict:
-        """Return its announcement."""
+        """Return the announcement without its sequence number."""
         return {
             "name": _NAME.value,
             "epoch": self.epoch,
@@ -84,17 +84,17 @@
         }
 
     async def _call(self, body: bytes, scope: dict) -> Reply:
-        headers = _echo(scope)
+        headers = _attempt_headers(scope)
         if self.faults.refuse:
             not_run = ((b"x-not-run", b"1"), (b"retry-after", b"1"))
             error = msgspec.json.encode({"error": "refused"})
             return Reply(503, error, headers=headers + not_run)
-        self._die_at("before")
+        self._exit_at("before")
         async with self._slots:
             digest = hashlib.sha256(body).hexdigest()
-            self._note_run(digest)
+            self._record_run(digest)
             await self._run()
-        self._die_at("after")
+        self._exit_at("after")
         if self.faults.fail:
             error = msgspec.json.encode({"error": "fault"})
             return Reply(500, error, headers=headers)
@@ -106,18 +106,18 @@
         self._running += 1
         try:
             await trio.sleep(seconds / 2)
-            self._die_at("during")
+            self._exit_at("during")
             await trio.sleep(seconds / 2)
         finally:
             self._running -= 1
 
-    def _note_run(self, digest: str) -> None:
+    def _record_run(self, digest: str) -> None:
         self.runs[digest] += 1
         if _RUNS_FILE.value:
             with open(_RUNS_FILE.value, "a", encoding="ascii") as file:
                 file.write(digest + "\n")
 
-    def _die_at(self, point: str) -> None:
+    def _exit_at(self, point: str) -> None:
         if self.faults.dies == point:
             os._exit(1)
 
@@ -129,7 +129,7 @@
         return json_reply({"runs": self.runs})
 
 
-def _echo(scope: dict) -> tuple[tuple[bytes, bytes], ...]:
+def _attempt_headers(scope: dict) -> tuple[tuple[bytes, bytes], ...]:
     return tuple(
         (name, value) for name, value in scope["headers"] if name == b"x-attempt-id"
     )
--- a/standins/web.py
+++ b/standins/web.py
@@ -1,4 +1,4 @@
-"""What the stand-ins share: a bare ASGI application with typed routes."""
+"""Minimal ASGI application with routing, shared by the stand-ins."""
 
 import signal
 from collections.abc import Awaitable, Callable
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A whole HTTP answer."""
+    """Complete HTTP answer."""
 
     status: int
     body: bytes
@@ -26,22 +26,22 @@
 
 
 def json_reply(value: object, status: int = 200) -> Reply:
-    """Return `value` as JSON."""
+    """Return a reply with `value` as JSON."""
     return Reply(status, msgspec.json.encode(value))
 
 
 class Application:
-    """Routes by method and path prefix.
+    """ASGI application that routes by method and path prefix.
 
-    A route takes the body and the scope, which has ASGI's `send` under
-    "send"; it returns a reply, or None if it has sent one itself.
+    A route gets the body and the ASGI scope, extended by "send" and "receive". It
+    returns a reply, or None if it has sent the answer itself.
     """
 
     def __init__(self) -> None:
         self._routes: list[tuple[str, str, Route]] = []
 
     def add(self, method: str, prefix: str, route: Route) -> None:
-        """Add a route; the first one that fits is taken."""
+        """Add a route. Among matching routes the first one added wins."""
         self._routes.append((method, prefix, route))
 
     async def __call__(self, scope, receive, send) -> None:
--- a/standins/weights.py
+++ b/standins/weights.py
@@ -1,7 +1,7 @@
 """Stand-in for the weight store (docs/interfaces-platform.md).
 
-All downloads share one token bucket; a part that finds too few tokens is
-answered with status 429 and the time to come back.
+All downloads share one token bucket, with one token per byte. A request for which
+the bucket has too few tokens gets status 429 and a Retry-After header.
 """
 
 import time
@@ -27,7 +27,7 @@
 
 
 class WeightStore:
-    """Sizes of models, and the tokens left."""
+    """Weight store with model sizes and a token bucket."""
 
     def __init__(self, sizes: dict[str, int], rate: float, burst: float):
         self.sizes = sizes
@@ -35,7 +35,7 @@
         self.burst = max(burst, _MAX_PART_BYTES)
         self.sent_bytes = 0
         self._tokens = self.burst
-        self._filled_at = time.monotonic()
+        self._refilled_at = time.monotonic()
 
     def application(self) -> Application:
         """Return its HTTP interface."""
@@ -56,7 +56,7 @@
         return json_reply({"size_bytes": size})
 
     async def _read_content(self, body: bytes, scope: dict) -> Reply:
-        """Send a part from `offset` on, which may be shorter than `length`."""
+        """Return a part that starts at `offset` and may be shorter than `length`."""
         name = unquote(scope["path"].removeprefix("/weights/v1/content/"))
         size = self.sizes.get(name)
         if size is None:
@@ -65,7 +65,7 @@
         offset = int(query.get("offset", ["0"])[0])
         length = int(query.get("length", [str(_MAX_PART_BYTES)])[0])
         count = max(0, min(length, _MAX_PART_BYTES, size - offset))
-        wait = self._take(count)
+        wait = self._take_tokens(count)
         if wait > 0:
             headers = ((b"retry-after", f"{wait:.3f}".encode()),)
             error = msgspec.json.encode({"error": "too many downloads"})
@@ -76,12 +76,12 @@
     async def _read_counts(self, body: bytes, scope: dict) -> Reply:
         return json_reply({"sent_bytes": self.sent_bytes})
 
-    def _take(self, count: int) -> float:
-        """Take tokens; return 0, or the seconds until there are enough."""
+    def _take_tokens(self, count: int) -> float:
+        """Take tokens and return 0, or return the seconds until there are enough."""
         now = time.monotonic()
-        filled = self._tokens + (now - self._filled_at) * self.rate
+        filled = self._tokens + (now - self._refilled_at) * self.rate
         self._tokens = min(self.burst, filled)
-        self._filled_at = now
+        self._refilled_at = now
         if self._tokens < count:
             return (count - self._tokens) / self.rate
         self._tokens -= count
