--- a/demo/__init__.py
+++ b/demo/__init__.py
@@ -1,1 +1,1 @@
-"""The main job, embedded: real processes on this machine."""
+"""Demo of the serving system, with real processes on this machine."""
--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the main job: both partners' load while a zone is taken back."""
+"""Runs both partners' load while the cloud reclaims one zone of each."""
 
 import shutil
 import statistics
@@ -21,7 +21,10 @@
 
 
 def main() -> int:
-    """Return the exit code: 0 if each accepted request was answered right, once."""
+    """Run the demo.
+
+    Return 0 if every accepted request was answered correctly and no quote ran twice.
+    """
     shutil.rmtree(FOLDER, ignore_errors=True)
     with Launcher(FOLDER) as launcher:
         site = Site(FOLDER, launcher)
--- a/demo/documents.py
+++ b/demo/documents.py
@@ -1,4 +1,4 @@
-"""The configuration that the demo and the measurements run with."""
+"""Configuration documents of the demo and the measurements."""
 
 from demo.launcher import UPSTREAM_KEY, key_hash
 
@@ -13,7 +13,7 @@
 
 CALLER_KEY = "demo-caller-key"
 OPERATOR_KEY = "demo-operator-key"
-# Keys of the callers by workspace.
+# Caller keys by workspace.
 CALLER_KEYS = {
     "planners": "demo-planners-key",
     "venue-desks": "demo-venue-desks-key",
@@ -24,7 +24,7 @@
 
 
 def base_document() -> dict:
-    """Return a base document with one deployment, for measurements."""
+    """Return a base document with a single deployment, for measurements."""
     return {
         **shared_document(),
         "workspaces": {"planners": {}},
@@ -42,7 +42,7 @@
 
 
 def shared_document() -> dict:
-    """Return the base that both partners share."""
+    """Return the base document shared by both partners."""
     return {
         **_shared(),
         "sites": {
@@ -53,7 +53,7 @@
 
 
 def overlay_document(site: str) -> dict:
-    """Return the overlay of a partner's site."""
+    """Return the overlay document of a partner's site."""
     return {"kitahara": _kitahara, "bantayog": _bantayog}[site]()
 
 
--- a/demo/launcher.py
+++ b/demo/launcher.py
@@ -1,4 +1,4 @@
-"""Starts daemons and stand-ins as processes on loopback, and ends them."""
+"""Launcher for daemons and stand-ins as processes on loopback."""
 
 import hashlib
 import os
@@ -29,12 +29,12 @@
 
 
 def key_hash(key: str) -> str:
-    """Return what the configuration keeps of a key."""
+    """Return the SHA-256 of a key in hexadecimal, as the configuration stores it."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports that are free now."""
+    """Return TCP ports on loopback that are currently free."""
     sockets = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
     ports = [each.getsockname()[1] for each in sockets]
     for each in sockets:
@@ -43,11 +43,11 @@
 
 
 def wait_ready(daemons: list["DaemonPlace"], seconds: float = 20.0) -> None:
-    """Return when all daemons are ready; raise TimeoutError after `seconds`."""
-    give_up_at = time.monotonic() + seconds
+    """Wait until all daemons are ready, or raise TimeoutError after `seconds`."""
+    deadline = time.monotonic() + seconds
     for place in daemons:
         while not _is_ready(place.url):
-            if time.monotonic() > give_up_at:
+            if time.monotonic() > deadline:
                 raise TimeoutError(f"{place.name} is not ready.")
             time.sleep(0.1)
 
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True)
 class DaemonPlace:
-    """A daemon's name, place and addresses."""
+    """Name, location, ports and roles of a daemon."""
 
     name: str
     zone: str
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True)
 class EnginePlace:
-    """A stand-in engine's name, place and address."""
+    """Name, location, port and models of a stand-in engine."""
 
     name: str
     zone: str
@@ -91,13 +91,13 @@
 
     @property
     def address(self) -> str:
-        """Address for hosts."""
+        """Address at which hosts reach the engine."""
         return f"127.0.0.1:{self.port}"
 
 
 @dataclass(frozen=True)
 class Documents:
-    """Files of the first configuration."""
+    """Files of the initial configuration."""
 
     base: Path
     overlays: tuple[Path, ...] = ()
@@ -105,7 +105,7 @@
 
 @dataclass(frozen=True)
 class Platform:
-    """Where the cloud API and the weight store are."""
+    """URLs of the cloud API and the weight store."""
 
     cloud_url: str
     weight_store_url: str
@@ -113,7 +113,10 @@
 
 @dataclass
 class Launcher:
-    """Processes under one folder, which keeps their settings and logs."""
+    """Processes whose settings and logs are kept in `folder`.
+
+    Leaving the context stops all processes.
+    """
 
     folder: Path
     processes: dict[str, subprocess.Popen] = field(default_factory=dict)
@@ -135,7 +138,7 @@
         documents: Documents,
         platform: Platform | None = None,
     ) -> None:
-        """Start a daemon that knows the others as seeds."""
+        """Start a daemon with the other places as its seeds."""
         settings = {
             "host": {
                 "name": place.name,
@@ -191,7 +194,7 @@
         self.start(place.name, arguments)
 
     def stop(self, name: str) -> None:
-        """End a process by SIGTERM, after some seconds by SIGKILL."""
+        """Stop a process by SIGTERM, and by SIGKILL if it doesn't exit in time."""
         process = self.processes.pop(name)
         process.terminate()
         try:
@@ -201,13 +204,13 @@
             process.wait()
 
     def kill(self, name: str) -> None:
-        """End a process without notice."""
+        """Kill a process by SIGKILL."""
         process = self.processes.pop(name)
         process.kill()
         process.wait()
 
     def start(self, name: str, arguments: list[str]) -> None:
-        """Start a module of Python with its arguments."""
+        """Start a Python module; the first argument is its name."""
         log = (self.folder / f"{name}.log").open("w")
         self.processes[name] = subprocess.Popen(
             [sys.executable, "-m", *arguments],
--- a/demo/load.py
+++ b/demo/load.py
@@ -1,4 +1,7 @@
-"""Load of both partners by the `openai` client, each answer checked."""
+"""Load generator for both partners that checks each answer.
+
+Streams are requested through the `openai` client, quotes over plain HTTP.
+"""
 
 import json
 import random
@@ -23,18 +26,18 @@
 
 @dataclass
 class Results:
-    """What became of the requests."""
+    """Outcomes of the requests."""
 
     counts: Counter = field(default_factory=Counter)
-    # Seconds to the first token.
+    # Time to first token of each stream, in seconds.
     first_tokens: list[float] = field(default_factory=list)
-    # Keys of quotes that were answered.
+    # Idempotency keys of the answered quotes.
     quotes: set[str] = field(default_factory=set)
     errors: list[str] = field(default_factory=list)
     _lock: threading.Lock = field(default_factory=threading.Lock)
 
-    def note(self, name: str, error: str = "") -> None:
-        """Count a request's end."""
+    def record(self, name: str, error: str = "") -> None:
+        """Count an outcome and keep its error, if any."""
         with self._lock:
             self.counts[name] += 1
             if error:
@@ -43,7 +46,7 @@
 
 @dataclass(frozen=True)
 class _Stream:
-    """A kind of streamed request."""
+    """Type of streamed request, and the number of workers that send it."""
 
     model: str
     engine_model: str
@@ -73,7 +76,7 @@
 
 
 class Load:
-    """Workers that send requests until `stop`."""
+    """Worker threads that send requests until `stop` is called."""
 
     def __init__(self, urls: Callable[[], dict[str, list[str]]], seed: int = 7):
         self.results = Results()
@@ -96,7 +99,7 @@
             thread.start()
 
     def stop(self) -> None:
-        """Return once each worker's last request has ended."""
+        """Stop the workers and wait for their last requests."""
         self._stop.set()
         for thread in self._threads:
             thread.join()
@@ -122,18 +125,20 @@
             try:
                 text = self._read(client, kind, prompt, seed, count)
             except openai.APIStatusError as error:
-                self.results.note("refused", str(error))
+                self.results.record("refused", str(error))
                 return
             except openai.APIError as error:
-                self.results.note("accepted")
-                self.results.note("lost", f"{url}: {error!r}")
+                self.results.record("accepted")
+                self.results.record("lost", f"{url}: {error!r}")
                 return
-        right = answer_tokens(
+        expected_tokens = answer_tokens(
             kind.engine_model, "", kind.version, seed, f"user: {prompt}", count
         )
-        self.results.note("accepted")
-        is_right = text == "".join(right)
-        self.results.note("whole" if is_right else "wrong", "" if is_right else prompt)
+        self.results.record("accepted")
+        is_correct = text == "".join(expected_tokens)
+        self.results.record(
+            "whole" if is_correct else "wrong", "" if is_correct else prompt
+        )
 
     def _read(self, client, kind: _Stream, prompt: str, seed: int, count: int) -> str:
         started = time.monotonic()
@@ -159,15 +164,20 @@
             time.sleep(_PAUSE_SECONDS)
 
     def _quote(self, key: str, rng: random.Random) -> None:
-        """Ask for a quote, and once more with the same key at another host."""
+        """Request a quote, and repeat it with the same key at a random host.
+
+        The repeat must get the same answer or be refused.
+        """
         first = self._call(self._choose("pepperstep-pool", rng), key)
         if first is None:
             return
-        self.results.note("accepted")
+        self.results.record("accepted")
         self.results.quotes.add(key)
         second = self._call(self._choose("pepperstep-pool", rng), key)
-        is_right = second in (first, None)
-        self.results.note("whole" if is_right else "wrong", "" if is_right else key)
+        is_correct = second in (first, None)
+        self.results.record(
+            "whole" if is_correct else "wrong", "" if is_correct else key
+        )
 
     def _call(self, url: str, key: str) -> bytes | None:
         request = urllib.request.Request(
@@ -183,7 +193,7 @@
             with urllib.request.urlopen(request, timeout=_TIMEOUT_SECONDS) as answer:
                 return answer.read()
         except urllib.error.HTTPError as error:
-            self.results.note("refused", f"{error.code}: {error.read()[:200]!r}")
+            self.results.record("refused", f"{error.code}: {error.read()[:200]!r}")
             return None
 
     def _choose(self, model: str, rng: random.Random) -> str:
--- a/demo/site.py
+++ b/demo/site.py
@@ -1,4 +1,4 @@
-"""The demo's processes: daemons of two partners, hosts of a cloud, services."""
+"""Processes of the demo: daemons of two partners, engines and services."""
 
 import json
 import time
@@ -34,16 +34,16 @@
 
 
 class Site:
-    """All processes of the demo; engines follow the hosts that the cloud rents."""
+    """All processes of the demo, with one engine per running cloud host."""
 
     def __init__(self, folder: Path, launcher: Launcher):
         self._folder = folder
         self._launcher = launcher
         self._ports = free_ports(20 + _HOST_PORTS)
         self._engines: set[str] = set()
-        # Money spent on hosts up to the last look at the cloud.
+        # Cost of all cloud hosts up to the last poll of the cloud.
         self.cost = 0.0
-        self._followed_at = time.monotonic()
+        self._polled_at = time.monotonic()
         self._cloud = f"http://127.0.0.1:{self._ports.pop()}"
         self._weights = f"http://127.0.0.1:{self._ports.pop()}"
         self.daemons = [
@@ -61,7 +61,7 @@
         ]
 
     def start(self) -> None:
-        """Start everything; the first six hosts are rented already."""
+        """Start all processes, with one running cloud host in each zone."""
         documents = self._write_documents()
         self._start_platform()
         platform = Platform(self._cloud, self._weights)
@@ -69,22 +69,25 @@
             self._launcher.start_daemon(place, self.daemons, documents, platform)
         for region, zones in REGIONS.items():
             for zone in zones:
-                self._rent(region, zone)
+                self._add_running_host(region, zone)
         self._start_services()
         self.follow_cloud()
 
     def urls(self) -> dict[str, list[str]]:
-        """Return the base URLs for each model's callers."""
+        """Return the base URLs of the daemons that serve each deployment."""
         return {
             DEPLOYMENTS[region]: [d.url for d in self.daemons if d.region == region]
             for region in REGIONS
         }
 
     def follow_cloud(self) -> None:
-        """Start an engine on each new host, and end those of stopped hosts."""
+        """Start an engine on each new cloud host, and kill those of stopped hosts.
+
+        Also add the cost of the hosts since the last call.
+        """
         now = time.monotonic()
-        hours = (now - self._followed_at) / _SECONDS_PER_HOUR
-        self._followed_at = now
+        hours = (now - self._polled_at) / _SECONDS_PER_HOUR
+        self._polled_at = now
         for host in _call(f"{self._cloud}/standin/v1/hosts")["hosts"]:
             name = f"engine-on-{host['id']}"
             is_running = host["state"] in ("running", "reclaiming")
@@ -96,20 +99,20 @@
                 self._launcher.kill(name)
 
     def reclaim(self, zone: str, seconds: float) -> list[str]:
-        """Let the cloud take a zone's hosts back, and return them."""
+        """Make the cloud reclaim a zone's hosts, and return their ids."""
         body = {"zone": zone, "seconds": seconds}
         return _call(f"{self._cloud}/standin/v1/reclaim", body)["host_ids"]
 
     def refuse(self, zones: list[str]) -> None:
-        """Let the cloud refuse starts in these zones."""
+        """Make the cloud refuse starts in these zones."""
         _call(f"{self._cloud}/standin/v1/faults", {"refused": zones})
 
     def wait_served(self, seconds: float) -> None:
-        """Return when each partner's hosts know three engines."""
-        give_up_at = time.monotonic() + seconds
+        """Wait until all daemons are ready, or raise TimeoutError after `seconds`."""
+        deadline = time.monotonic() + seconds
         while not all(self._is_served(place) for place in self.daemons):
-            if time.monotonic() > give_up_at:
-                raise TimeoutError("The engines are not known everywhere.")
+            if time.monotonic() > deadline:
+                raise TimeoutError("Some daemons are not ready.")
             self.follow_cloud()
             time.sleep(0.2)
 
@@ -127,13 +130,13 @@
         return total
 
     def runs_of_quotes(self) -> list[str]:
-        """Return the body of each run of the plain service."""
+        """Return the SHA-256 of the request body of each run of the plain service."""
         files = self._folder.glob("quote-api-*.runs")
         return [line for file in files for line in file.read_text().splitlines()]
 
     def _is_served(self, place: DaemonPlace) -> bool:
-        metrics = urllib.request.urlopen(f"{place.url}/readyz", timeout=5)
-        with metrics as answer:
+        response = urllib.request.urlopen(f"{place.url}/readyz", timeout=5)
+        with response as answer:
             return answer.status == 200
 
     def _write_documents(self) -> Documents:
@@ -172,7 +175,7 @@
         )
         _wait_for(f"{self._cloud}/standin/v1/hosts")
 
-    def _rent(self, region: str, zone: str) -> None:
+    def _add_running_host(self, region: str, zone: str) -> None:
         body = {
             "token": f"first-{zone}",
             "zone": zone,
