--- a/tests/measure/test_ablation.py
+++ b/tests/measure/test_ablation.py
@@ -1,4 +1,8 @@
-"""Mechanisms that can be taken out of a copy."""
+"""Ablations: mechanisms that are disabled in a copy of the source.
+
+An ablation whose text is missing from the source, or that leaves invalid Python,
+would measure something else.
+"""
 
 import shutil
 from pathlib import Path
@@ -11,7 +15,7 @@
 
 
 @pytest.mark.parametrize("ablation", ABLATIONS, ids=lambda each: each.name)
-def test_each_is_taken_out_of_a_copy_once(tmp_path, ablation):
+def test_ablation_changes_a_copy_once(tmp_path, ablation):
     copy = tmp_path / ablation.path
     copy.parent.mkdir(parents=True)
     shutil.copy(ROOT / ablation.path, copy)
@@ -25,14 +29,14 @@
             ablate(ablation.name, tmp_path)
 
 
-def test_names_are_told_apart():
+def test_names_are_unique():
     assert len({each.name for each in ABLATIONS}) == len(ABLATIONS)
 
 
 @pytest.mark.parametrize(
     "arguments", [["ablation"], ["ablation", "nothing", "."], ["ablation", "a"]]
 )
-def test_wrong_calls_are_told(arguments):
+def test_invalid_arguments_exit_with_a_message(arguments):
     with pytest.raises(SystemExit) as caught:
         main(arguments)
     assert isinstance(caught.value.code, str)
--- a/tests/measure/test_accounts.py
+++ b/tests/measure/test_accounts.py
@@ -1,4 +1,4 @@
-"""The accounts of the measurements add up."""
+"""Arithmetic of the measurements: percentiles, shares, token ledger and load."""
 
 import math
 
@@ -50,11 +50,11 @@
         ({}, True),
     ],
 )
-def test_lost_is_what_has_no_truthful_end(changes, is_lost):
+def test_request_without_truthful_outcome_is_lost(changes, is_lost):
     assert make_sample(**changes).is_lost is is_lost
 
 
-def test_held_share_counts_refused_and_late_requests_against_it():
+def test_refused_and_late_requests_lower_held_share():
     good = {"is_answered": True, "first_token": 0.5, "gaps": [0.04, 0.06]}
     samples = [
         make_sample(**good),
@@ -66,7 +66,7 @@
     assert held_share(samples, 0.54, 0.053) == 0.25
 
 
-def test_served_share_is_of_what_is_due():
+def test_served_share_counts_only_requests_that_are_due():
     served = make_sample(is_answered=True, ended_at=9.0)
     late = make_sample(is_answered=True, ended_at=11.0)
     assert served_share([served, late], math.inf) == 0.5
@@ -74,7 +74,7 @@
     assert served_share([late], 1.0) == 0.0
 
 
-def test_ledger_tells_first_computation_from_the_rest():
+def test_ledger_separates_first_computation_from_recomputation():
     ledger = Ledger()
     ledger.window = (5.0, 20.0)
     for attempt, start, end, tokens in [
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize("partner", PARTNERS, ids=lambda partner: partner.name)
-def test_load_repeats_and_keeps_the_asked_rate(partner):
+def test_load_is_reproducible_and_keeps_the_requested_rate(partner):
     speed = Speed()
     first = list(arrivals(partner, speed, 1.0, 400.0, 1))
     assert first == list(arrivals(partner, speed, 1.0, 400.0, 1))
@@ -105,15 +105,15 @@
     assert work == pytest.approx(partner.engines * speed.slots * 400, rel=0.1)
 
 
-def test_prompts_of_a_family_share_their_start():
-    lists = [
+def test_prompts_of_a_family_share_a_prefix():
+    requests = [
         each.request
         for each in arrivals(KITAHARA, Speed(), 1.0, 60.0, 1)
         if each.type.name == "guest-list" and each.workspace == "weddings"
     ]
-    starts = {request.prompt[: 1300 * 4] for request in lists}
-    assert len(starts) == 3 < len(lists)
-    assert len({request.prompt for request in lists}) == len(lists)
+    prefixes = {request.prompt[: 1300 * 4] for request in requests}
+    assert len(prefixes) == 3 < len(requests)
+    assert len({request.prompt for request in requests}) == len(requests)
 
 
 def test_section_replaces_its_earlier_text(tmp_path):
--- a/tests/measure/test_capacity.py
+++ b/tests/measure/test_capacity.py
@@ -1,4 +1,7 @@
-"""Capacity runs give what they say, and the page's figures follow from a run."""
+"""Capacity measurements give plausible figures.
+
+The committed slopes must follow from the committed points.
+"""
 
 import json
 import math
@@ -50,7 +53,7 @@
 @pytest.mark.parametrize(
     ("measure", "sizes", "checks"),
     [
-        # Each host probes and gets answers whatever the number of hosts.
+        # The number of messages per host doesn't depend on the number of hosts.
         (
             capacity_hosts.measure_membership,
             (8,),
@@ -60,7 +63,7 @@
         (capacity_hosts.measure_restarts, (8,), {"known_after": (0, 2)}),
         (capacity_hosts.measure_cut, (12, 3, 20.0), {"wrongly_dead": (0, 0)}),
         (capacity_upstreams.measure_registry, (4, 8), {"known": (8, 8)}),
-        # A message and its answer from each host to each other at most.
+        # At most one message and its answer from each host to each other host.
         (capacity_upstreams.measure_verdicts, (6,), {"messages": (10, 60)}),
         (capacity_upstreams.measure_kept_items, (6, 4), {"messages": (0, 0)}),
         (capacity_requests.measure_view, (20, 2), {"processor": (0, 0.1)}),
@@ -90,11 +93,11 @@
 def test_run(measure, sizes, checks):
     figures = measure(*sizes).figures
     assert all(math.isfinite(value) for value in figures.values())
-    for name, (least, most) in checks.items():
-        assert least <= figures[name] <= most, (name, figures)
+    for name, (lower, upper) in checks.items():
+        assert lower <= figures[name] <= upper, (name, figures)
 
 
-def test_committed_lines_follow_from_their_points():
+def test_committed_slopes_follow_from_their_points():
     result = json.loads(COMMITTED.read_text())
     points = points_of(result["sections"])
     lines = json.loads(json.dumps(slopes_of(points)))
--- a/tests/measure/test_runs.py
+++ b/tests/measure/test_runs.py
@@ -1,4 +1,7 @@
-"""Runs on whole hosts repeat, and their accounts see faults."""
+"""Measurement runs on whole hosts are reproducible and detect faults.
+
+A run that misses lost, wrong or doubled answers would report faulty code as correct.
+"""
 
 from dataclasses import replace
 
@@ -22,7 +25,7 @@
     return Result.from_world(run_case(tiny))
 
 
-def test_run_repeats():
+def test_run_is_reproducible():
     results = [run_tiny(KITAHARA, None) for _ in range(2)]
     assert results[0] == results[1]
     assert results[0].answered_in_time == results[0].asked > 0
@@ -42,7 +45,7 @@
 
 
 def test_lost_answers_are_counted():
-    # Without a wait for the retry budget, which outlasts some deadlines.
+    # The default wait for the retry budget is longer than some deadlines.
     result = run_tiny(KITAHARA, _cross_answers, retry_wait=0.01)
     assert result.lost
     assert result.answered_in_time < result.asked
@@ -58,7 +61,7 @@
     assert run_tiny(KITAHARA, None).wrong
 
 
-def test_day_repeats():
+def test_day_is_reproducible():
     case = DayCase("planned", seconds=3600.0, waves_a_day=48)
     first = run_day(case)
     assert first == run_day(case)
