--- a/measure/capacity_configuration.py
+++ b/measure/capacity_configuration.py
@@ -138,7 +138,7 @@
             await trio.sleep(_CUT_SECONDS)
             revision = await _change(stores[outside[0]], 1)
             reached = await _seconds_to(stores, outside, revision)
-            say_so = sum(stores[name].is_cut_off for name in inside)
+            say_so = sum(stores[name].is_isolated for name in inside)
             network.heal()
             healed = await _seconds_to(stores, inside, revision)
             nursery.cancel_scope.cancel()
--- a/measure/capacity_fleet.py
+++ b/measure/capacity_fleet.py
@@ -4,12 +4,13 @@
 import time
 from dataclasses import replace
 
+from pepperstep.fleet.actions import Action, ActionKind, ActionState
+
 from measure.capacity_lines import Point, trace_bytes
 from pepperstep.configuration import Configuration, Deployment
 from pepperstep.entities import Load, ModelKey, Upstream, UpstreamKind
 from pepperstep.fakes import FakeTimers
-from pepperstep.fleet import FleetTuning, OrderMachine, plan_fleet
-from pepperstep.fleet.acts import Act, ActKind, ActState
+from pepperstep.fleet import FleetStateMachine, FleetTuning, plan_fleet
 from pepperstep.fleet.observer import Observer
 from pepperstep.fleet.weights import Weights
 from pepperstep.ports.cloud import Offer, PriceClass
@@ -50,12 +51,12 @@
     ]
 
 
-def _start(number: int, deployments: int) -> Act:
+def _start(number: int, deployments: int) -> Action:
     offer = _offers()[2 * (number % _ZONES)]
-    return Act(
+    return Action(
         id=f"pepperstep-7-{number}",
-        kind=ActKind.START,
-        state=ActState.DONE,
+        kind=ActionKind.START,
+        state=ActionState.DONE,
         fence=number,
         deployment=f"model-{number % deployments:04d}",
         reason="12 replicas wanted for 150 requests, 10 of them must remain.",
@@ -84,10 +85,10 @@
     """A leader's record, registry and configuration of so many replicas."""
 
     def __init__(self, replicas: int, deployments: int):
-        self.machine = OrderMachine()
+        self.machine = FleetStateMachine()
         for number in range(replicas):
             act = _start(number, deployments)
-            self.machine.acts[act.id] = act
+            self.machine.actions[act.id] = act
         engines = [_engine(number, deployments) for number in range(replicas)]
         timers = _Timers(random.Random(1))
         self.observer = Observer(
@@ -148,13 +149,13 @@
     """Return processor time of one look at hosts that drain to be stopped."""
     scene = _Scene(replicas, 100)
     for number in range(stops):
-        host = scene.machine.acts[f"pepperstep-7-{number}"]
+        host = scene.machine.actions[f"pepperstep-7-{number}"]
         stop = replace(
-            host, id=f"stop-{number}", kind=ActKind.STOP, state=ActState.RECORDED
+            host, id=f"stop-{number}", kind=ActionKind.STOP, state=ActionState.RECORDED
         )
-        scene.machine.acts[stop.id] = stop
+        scene.machine.actions[stop.id] = stop
     started = time.process_time()
-    for stop in scene.machine.open_acts():
+    for stop in scene.machine.open_actions():
         scene.observer.undrained_engines(stop.host_id)
     seconds = time.process_time() - started
     return Point(
--- a/measure/capacity_upstreams.py
+++ b/measure/capacity_upstreams.py
@@ -9,13 +9,13 @@
 from dataclasses import replace
 
 import trio
+from pepperstep.requests.broadcast import Broadcast
 
 from measure.capacity_lines import Meter, Point, run_virtual, trace_bytes
 from pepperstep.entities import Host, Load, ModelKey, Upstream, UpstreamKind
 from pepperstep.fakes import FakeDirectory, FakeNetwork, FakePeers, FakeTimers
 from pepperstep.membership import RegistrySettings, UpstreamRegistry
 from pepperstep.proto import verdicts_pb2
-from pepperstep.requests.spread import Spread
 
 __all__ = [
     "measure_kept_items",
@@ -145,14 +145,14 @@
         directory = FakeDirectory([Host(n, n, "", "z", "r", "s") for n in names])
         counts: Counter[str] = Counter()
         async with trio.open_nursery() as nursery:
-            spreads = [
-                _start_spread(nursery, network, directory, name, counts)
+            broadcasts = [
+                _start_broadcast(nursery, network, directory, name, counts)
                 for name in names
             ]
             await trio.sleep(_WARM_SECONDS)
             meter = Meter(network)
             for number in range(verdicts):
-                spreads[number % hosts].add(f"{number:032x}", _verdict(number), 2e9)
+                broadcasts[number % hosts].add(f"{number:032x}", _verdict(number), 2e9)
             while counts["read"] < verdicts * (hosts - 1):
                 await trio.sleep(0.05)
             await trio.sleep(1.0)
@@ -180,12 +180,14 @@
         directory = FakeDirectory([Host(n, n, "", "z", "r", "s") for n in names])
         async with trio.open_nursery() as nursery:
             network = FakeNetwork(random.Random(1))
-            spread = _start_spread(nursery, network, directory, names[0], Counter())
+            broadcast = _start_broadcast(
+                nursery, network, directory, names[0], Counter()
+            )
             for name in names[1:]:
                 peers = FakePeers(name, network, FakeTimers(), nursery)
                 peers.handle(verdicts_pb2.Verdicts, _acknowledge)
             for number in range(items):
-                spread.add(f"{number:032x}", _verdict(number), 2e9)
+                broadcast.add(f"{number:032x}", _verdict(number), 2e9)
             await trio.sleep(_WARM_SECONDS)
             meter = Meter(network)
             await trio.sleep(_SECONDS)
@@ -208,7 +210,7 @@
     )
 
 
-def _start_spread(nursery, network, directory, name, counts) -> Spread:
+def _start_broadcast(nursery, network, directory, name, counts) -> Broadcast:
     rng = random.Random(name)
     timers = FakeTimers(rng)
     peers = FakePeers(name, network, timers, nursery)
@@ -218,14 +220,14 @@
 
     def read(message) -> None:
         for verdict in message.verdicts:
-            counts["read"] += spread.add(verdict.content, verdict, 2e9, is_own=False)
+            counts["read"] += broadcast.add(verdict.content, verdict, 2e9, is_own=False)
 
-    spread = Spread(name, peers, timers, directory, rng, build, read)
+    broadcast = Broadcast(name, peers, timers, directory, rng, build, read)
 
     async def handle(message, sender):
         read(message)
-        return build(spread.items() if message.is_pull else [], False)
+        return build(broadcast.items() if message.is_pull else [], False)
 
     peers.handle(verdicts_pb2.Verdicts, handle)
-    nursery.start_soon(spread.run)
-    return spread
+    nursery.start_soon(broadcast.run)
+    return broadcast
--- a/measure/placement.py
+++ b/measure/placement.py
@@ -12,7 +12,7 @@
 from typing import TypeVar
 
 from measure.model_engine import ModelEngine, ModelRun, Scheduler
-from pepperstep.coordination import Announcement, UpstreamBook, UpstreamKey
+from pepperstep.coordination import Announcement, UpstreamCatalog, UpstreamKey
 from pepperstep.entities.routes import Service
 from pepperstep.ports.relaying import PromptPart, RequestFacts
 from pepperstep.relay.choice import Chooser
@@ -119,11 +119,11 @@
         for upstream in upstreams:
             kept = self._kept.setdefault(upstream, {})
             kept[id(self)] = self.own(upstream)
-            others = (work for host, work in kept.items() if host != id(self))
-            found[upstream] = sum(others, UpstreamWork())
+            peer_work = (work for host, work in kept.items() if host != id(self))
+            found[upstream] = sum(peer_work, UpstreamWork())
         return found
 
-    def note_change(self, upstream: UpstreamKey, unread: int) -> None:
+    def report_unread(self, upstream: UpstreamKey, unread: int) -> None:
         told = partial(self._tell, upstream, self.own(upstream))
         self._clock.at(self._clock.now + _TELLING_SECONDS, told)
 
@@ -165,15 +165,17 @@
         def now() -> float:
             return self._clock.now
 
-        book = UpstreamBook(now)
+        catalog = UpstreamCatalog(now)
         for name in self._engines:
-            book.note(Announcement(name, "model", f"{name}:1", "z", sequence=1))
+            catalog.record(Announcement(name, "model", f"{name}:1", "z", sequence=1))
         count = self._settings.hosts
         rng = random.Random(seed)
         if not self._settings.tells:
-            return Chooser(book, _OpenPools(), "z", lambda: count, now, rng)
+            return Chooser(catalog, _OpenPools(), "z", lambda: count, now, rng)
         kept = _KeptWork(self._clock, self._kept)
-        chooser = Chooser(book, _OpenPools(), "z", lambda: count, now, rng, others=kept)
+        chooser = Chooser(
+            catalog, _OpenPools(), "z", lambda: count, now, rng, peer_work=kept
+        )
         kept.own = chooser.work_at
         return chooser
 
@@ -217,7 +219,7 @@
             if state["over"]:
                 return
             state["first"] = self._clock.now - begun
-            chooser.note_read(choice, state["first"])
+            chooser.record_prefill(choice, state["first"])
             if is_counted:
                 self.result.firsts.append(state["first"])
                 self.result.errors.append(state["first"] - choice.first_token)
@@ -237,7 +239,7 @@
             state["over"] = True
             engine.cancel(run)
             if state["first"] is None:
-                chooser.note_read(choice, None)
+                chooser.record_prefill(choice, None)
             chooser.end(choice.upstream, True)
             self.result.cut += is_counted
 
--- a/measure/routing_cost.py
+++ b/measure/routing_cost.py
@@ -64,8 +64,8 @@
         placement = await router.acquire(request, 0, frozenset())
         placed = time.perf_counter()
         with placement:
-            placement.note_tokens(1)
-            placement.note_answered(EndMark("", 16, "length"))
+            placement.record_tokens(1)
+            placement.record_answer(EndMark("", 16, "length"))
         ended = time.perf_counter()
         steps.append((checked - begin, placed - checked, ended - placed))
     return [statistics.median(each) * 1e6 for each in zip(*steps, strict=True)]
--- a/measure/routing_site.py
+++ b/measure/routing_site.py
@@ -241,9 +241,9 @@
                 try:
                     await self._attempt(placement, sample, tokens)
                 except UpstreamRefused as error:
-                    placement.note_refused(error.retry_after)
+                    placement.record_refusal(error.retry_after)
                 except UpstreamLost:
-                    placement.note_lost()
+                    placement.record_loss()
             excluded.add(placement.upstream.name)
 
     async def _attempt(self, placement, sample: Sample, tokens: list[str]) -> None:
@@ -260,14 +260,14 @@
         async with self.upstreams.generate(placement.upstream, order) as chunks:
             async for chunk in chunks:
                 if isinstance(chunk, EndMark):
-                    placement.note_answered(chunk)
+                    placement.record_answer(chunk)
                     sample.is_answered = True
                     self._note_gap(sample)
                     return
                 if sample.first_token is None:
                     sample.first_token = trio.current_time() - sample.asked_at
                 tokens.extend(chunk.tokens)
-                placement.note_tokens(len(chunk.tokens))
+                placement.record_tokens(len(chunk.tokens))
 
     def _note_gap(self, sample: Sample) -> None:
         seconds = trio.current_time() - sample.asked_at - sample.first_token
--- a/src/pepperstep/fakes/relaying.py
+++ b/src/pepperstep/fakes/relaying.py
@@ -200,6 +200,6 @@
         """Reset the caller's connection."""
         self.is_aborted = True
 
-    async def wait_gone(self) -> None:
+    async def wait_disconnected(self) -> None:
         """Return once the caller has closed the connection."""
         await self._gone.wait()
--- a/tests/fuzz/test_machines.py
+++ b/tests/fuzz/test_machines.py
@@ -15,7 +15,7 @@
 from pepperstep.configuration import BASE, hash_key
 from pepperstep.configuration.machine import ConfigurationMachine
 from pepperstep.errors import Code, Failure
-from pepperstep.fleet.machine import OrderMachine
+from pepperstep.fleet.machine import FleetStateMachine
 from pepperstep.ports import Machine
 from pepperstep.proto import claims_pb2, configuration_pb2, fleet_pb2, journal_pb2
 from pepperstep.requests import LinkMachine
@@ -61,7 +61,7 @@
         FIRST_CHANGE,
     ),
     (
-        OrderMachine,
+        FleetStateMachine,
         fleet_pb2.FleetCommand,
         fleet_pb2.FleetState,
         [fleet_pb2.FleetResult],
--- a/tests/fuzz/test_peer_messages.py
+++ b/tests/fuzz/test_peer_messages.py
@@ -216,7 +216,7 @@
         client.set_address("server", f"127.0.0.1:{port}")
         for data in (b"", b"\xff\xff", good[:-1]):
             with pytest.raises(Failure) as caught:
-                codec.decode(await client._stream_to("server").call(data, 10.0))
+                codec.decode(await client._get_stream("server").call(data, 10.0))
             assert caught.value.code is Code.INVALID_REQUEST
         assert await trio.to_thread.run_sync(_send_raw, port, b"\xff\xff") == []
         message = journal_pb2.CancelRequest(request_id="a")
