--- a/tests/relaying/test_relay.py
+++ b/tests/relaying/test_relay.py
@@ -416,9 +416,10 @@
 async def test_error_answer_does_not_continue_a_broken_stream(autojump_clock, status):
     """Guards against a truncated stream that looks complete to its caller.
 
-    An upstream crashes in the middle of a stream, and the upstream that should resume
-    the stream answers with an error. The error's body must not be forwarded as the
-    rest of the stream.
+    An upstream crashed in the middle of a stream, and the upstream that should resume
+    the stream answered 500 within a millisecond. The error's body was forwarded as the
+    rest and the stream was ended as complete, so the caller got its first events and
+    its end with the rest missing. An error's body must not continue a stream.
     """
 
     def broken_then_failing(sent) -> Reply:
