--- a/tests/adapters/test_upstream_tls.py
+++ b/tests/adapters/test_upstream_tls.py
@@ -8,7 +8,7 @@
 
 from demo.launcher import free_ports
 from pepperstep.adapters.http_upstreams import HttpUpstreams
-from pepperstep.daemon import _trust
+from pepperstep.daemon import _upstream_tls_context
 from pepperstep.entities import Upstream, UpstreamKind
 from pepperstep.ports.upstreams import UpstreamRefused
 from pepperstep.settings import TlsSettings
@@ -30,7 +30,9 @@
     authority.issue_cert("127.0.0.1").configure_cert(context)
     (port,) = free_ports(1)
     upstream = Upstream("e", 1, f"127.0.0.1:{port}", UpstreamKind.ENGINE, "h", "zone")
-    trust = _trust(TlsSettings(upstream_authority=str(tmp_path / "authority.pem")))
+    trust = _upstream_tls_context(
+        TlsSettings(upstream_authority=str(tmp_path / "authority.pem"))
+    )
     async with trio.open_nursery() as nursery:
         serve = trio.serve_ssl_over_tcp
         await nursery.start(serve, _answer, port, context)
@@ -44,4 +46,4 @@
 
 
 def test_no_tls_without_authority():
-    assert _trust(TlsSettings()) is None
+    assert _upstream_tls_context(TlsSettings()) is None
